--- a/honeybarrow/node/__init__.py
+++ b/honeybarrow/node/__init__.py
@@ -1,5 +1,5 @@
-"""The platform's protocol: one more way in and one more way out of the same core (``docs/node.md``).
+"""The forwarder process on the platform: HTTP front, HTTP calls and discovery (see ``docs/node.md``).
 
-Entry: :func:`honeybarrow.node.main.main`, started by ``python -m honeybarrow.node``. Nothing here imports the
-program's heavy libraries: the platform gives a part of a core and little memory.
+The entry point is :func:`honeybarrow.node.main.main`, run by ``python -m honeybarrow.node``. The package does
+not import the program's heavy libraries, because the platform limits processor time and memory.
 """
--- a/honeybarrow/node/descriptor_budget.py
+++ b/honeybarrow/node/descriptor_budget.py
@@ -1,6 +1,6 @@
-"""How many connections of each kind the descriptors allow, and which client connection closes when.
+"""Limits of open connections, and the rules for closing client connections.
 
-No I/O, no clock: times are seconds and come as arguments, what a connection is like comes as facts.
+The functions do no I/O and read no clock; durations are seconds.
 """
 
 from __future__ import annotations
@@ -8,31 +8,30 @@
 import enum
 from dataclasses import dataclass
 
-RESERVED_DESCRIPTORS = 24  # for the log's file, the reactor, the listener, discovery and notifications
-MAX_IDLE_ENDPOINT_SHARE = 0.2  # of the descriptors, for idle connections to endpoints
-# Danger: a crowd of clients that ask once and stay counts where client connections are dealt out, and clients
-# with requests are then kept out, though there is capacity here. Their requests need a third at most.
-MAX_CLIENT_SHARE = 0.5  # of the descriptors, for client connections
-MIN_CLIENT_CONNECTIONS = 16  # however few descriptors there are
-FIRST_REQUEST_TIMEOUT_S = 2.0  # from connecting to a whole request: an answer or a close is due within 3 s
-REQUEST_TIMEOUT_S = 2.0  # from the first byte of a later request to its last
-UNUSED_AFTER_S = 0.5  # without a byte, after which no request is expected soon on a new connection
-LINGER_TIMEOUT_S = 0.3  # to discard input after our half-close, so that no reset destroys the last answer
+RESERVED_DESCRIPTORS = 24  # log file, reactor, listener, discovery and notifications
+MAX_IDLE_ENDPOINT_SHARE = 0.2  # share of the descriptors for idle connections to endpoints
+# Idle clients count towards the limit too, so it exceeds what clients with open requests need.
+MAX_CLIENT_SHARE = 0.5  # share of the descriptors for client connections
+MIN_CLIENT_CONNECTIONS = 16
+FIRST_REQUEST_TIMEOUT_S = 2.0  # from the connect to the last byte of the request
+REQUEST_TIMEOUT_S = 2.0  # from the first to the last byte of a later request
+UNUSED_CONNECTION_TIMEOUT_S = 0.5  # for the first byte on a new connection during shutdown
+LINGER_TIMEOUT_S = 0.3  # for discarding input after the half-close
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorBudget:
-    """Connections that may be open at once."""
+    """Maximum numbers of open connections."""
 
     client_connections: int
     idle_endpoint_connections: int
-    endpoint_connections: int  # those with a call and the idle ones together
+    endpoint_connections: int  # busy and idle connections together
 
 
 def allocate_descriptors(descriptor_limit: int, call_slots: int) -> DescriptorBudget:
-    """Divide so many descriptors, where ``call_slots`` calls may be in flight."""
+    """Divide the descriptors, given that ``call_slots`` calls may be in flight."""
     idle = max(4, int(descriptor_limit * MAX_IDLE_ENDPOINT_SHARE))
-    # More call slots than that share the descriptors of idle connections, which close to make room for calls.
+    # Calls beyond a quarter of the descriptors use those of idle connections, which are closed for them.
     endpoints = min(
         idle + min(call_slots, descriptor_limit // 4),
         max(idle, descriptor_limit - RESERVED_DESCRIPTORS - MIN_CLIENT_CONNECTIONS),
@@ -45,51 +44,54 @@
 class ConnectionState(enum.Enum):
     """State of a client's connection."""
 
-    NEW = "new"  # connected, and nothing has come
-    READING = "reading"  # a part of a request has come
-    PROCESSING = "processing"  # a request awaits its answer
-    KEEP_ALIVE = "keep-alive"  # between requests, after an answer
-    CLOSING = "closing"  # answered for the last time
+    NEW = "new"  # no input received
+    READING = "reading"  # part of a request received
+    PROCESSING = "processing"  # request received, response not sent
+    KEEP_ALIVE = "keep-alive"  # idle after a response
+    CLOSING = "closing"  # last response sent
 
 
 class ConnectionAction(enum.Enum):
-    """What is to be done with a client's connection now."""
+    """An action on a client's connection."""
 
     NONE = "none"
-    TIME_OUT_REQUEST = "time out request"  # answer that the request did not come in time
-    HALF_CLOSE = "half-close"  # and discard what still comes
-    CLOSE = "close"  # enough was discarded
+    TIME_OUT_REQUEST = "time out request"  # respond with 408
+    HALF_CLOSE = "half-close"
+    CLOSE = "close"
 
 
 def choose_action(
     state: ConnectionState, has_answered: bool, age_s: float, is_draining: bool = False
 ) -> ConnectionAction:
-    """Return what is due ``age_s`` after the state began; for a first request, after the connect."""
+    """Return the action due in a state.
+
+    ``age_s`` is the time in the state; until the first response, the time since the connect.
+    """
     if state is ConnectionState.CLOSING and age_s > LINGER_TIMEOUT_S:
         return ConnectionAction.CLOSE
     if state is ConnectionState.READING:
         timeout_s = REQUEST_TIMEOUT_S if has_answered else FIRST_REQUEST_TIMEOUT_S
         return ConnectionAction.TIME_OUT_REQUEST if age_s > timeout_s else ConnectionAction.NONE
-    # A process that stops waits only for a first request that must be on its way.
-    first_request_timeout_s = UNUSED_AFTER_S if is_draining else FIRST_REQUEST_TIMEOUT_S
+    # During shutdown only a request that is probably already in transit is waited for.
+    first_request_timeout_s = UNUSED_CONNECTION_TIMEOUT_S if is_draining else FIRST_REQUEST_TIMEOUT_S
     is_overdue = state is ConnectionState.NEW and age_s > first_request_timeout_s
     return ConnectionAction.HALF_CLOSE if is_overdue else ConnectionAction.NONE
 
 
 class EvictionClass(enum.Enum):
-    """Connections that may be evicted for a new one, those that go first in front.
+    """Classes of connections that may be evicted for a new one, in the order of eviction.
 
-    Danger: a request may be on its way on a connection that has sent nothing yet, and fails with it. One
-    between requests loses nothing, since its client sends again on a new connection. So those go first.
+    Closing an idle connection loses nothing, because its client opens a new one for its next request. On an
+    unanswered connection a request may be in transit, which would fail.
     """
 
     CLOSING = "closing"
     KEEP_ALIVE = "keep-alive"
-    UNANSWERED = "unanswered"  # no whole request has come yet
+    UNANSWERED = "unanswered"  # no complete request received
 
 
 def eviction_class(state: ConnectionState, has_answered: bool) -> EvictionClass | None:
-    """Return the class of a connection; ``None``: it is never evicted."""
+    """Return the class of a connection; ``None`` if it must not be evicted."""
     match state:
         case ConnectionState.CLOSING:
             return EvictionClass.CLOSING
--- a/honeybarrow/node/eviction_queue.py
+++ b/honeybarrow/node/eviction_queue.py
@@ -1,7 +1,7 @@
-"""Client connections in the order in which they are evicted when a new one finds no room.
+"""Client connections in the order in which they are evicted at the connection limit.
 
-Danger: looking through all connections for each new one takes most of the processor when hundreds of idle
-clients connect every second. So each connection is kept in the queue of its kind, the longest there first.
+Each eviction class has its own queue, so that choosing a candidate does not scan all connections even while
+hundreds of clients connect every second.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class EvictionQueue(Generic[Key, Value]):
-    """Connections by their eviction class; within a class in the order in which they came into it."""
+    """Connections ordered by eviction class, and within a class by the time they entered it."""
 
     def __init__(self) -> None:
         self._queues: dict[EvictionClass, OrderedDict[Key, Value]] = {
@@ -27,22 +27,22 @@
         self._class_of: dict[Key, EvictionClass] = {}
 
     def update(self, key: Key, connection: Value, state: ConnectionState, has_answered: bool) -> None:
-        """Note the state of a connection; one that comes into a class goes to its end."""
-        found = eviction_class(state, has_answered)
-        if self._class_of.get(key) is found:
+        """Update the state of a connection; if its class changes, it moves to the end of the new class."""
+        new_class = eviction_class(state, has_answered)
+        if self._class_of.get(key) is new_class:
             return
         self.remove(key)
-        if found is not None:
-            self._class_of[key] = found
-            self._queues[found][key] = connection
+        if new_class is not None:
+            self._class_of[key] = new_class
+            self._queues[new_class][key] = connection
 
     def remove(self, key: Key) -> None:
-        """Forget a connection."""
-        before = self._class_of.pop(key, None)
-        if before is not None:
-            del self._queues[before][key]
+        """Remove a connection, if present."""
+        old_class = self._class_of.pop(key, None)
+        if old_class is not None:
+            del self._queues[old_class][key]
 
     def candidates(self, limit: int) -> Iterator[Value]:
-        """Yield the first connections to evict, at most so many."""
+        """Return an iterator over the first ``limit`` connections to evict."""
         in_order = itertools.chain.from_iterable(queue.values() for queue in self._queues.values())
         return itertools.islice(in_order, limit)
--- a/honeybarrow/node/front.py
+++ b/honeybarrow/node/front.py
@@ -1,4 +1,7 @@
-"""The HTTP front for clients: bounded connections, requests to their handler, answers back."""
+"""HTTP server for clients.
+
+Limits the number of connections, passes requests to a handler and sends its responses.
+"""
 
 from __future__ import annotations
 
@@ -16,30 +19,33 @@
 from honeybarrow.node.sockets import close_now, half_close, has_unread_bytes, write_now
 from honeybarrow.ports import Clock
 
-MAX_LINGER_BYTES = 1 << 18  # discarded after our half-close
+MAX_LINGER_BYTES = 1 << 18  # input discarded after the half-close
 SWEEP_INTERVAL_S = 0.2
-MAX_REQUESTS_PER_TURN = 4  # of one connection
-MAX_EVICTION_CANDIDATES = 8  # checked for unread input before one is evicted
+MAX_REQUESTS_PER_TURN = 4  # per connection
+MAX_EVICTION_CANDIDATES = 8  # connections checked for unread input
 
 
 class RequestHandler(Protocol):
-    """Handles clients' requests."""
+    """Handler of clients' requests."""
 
     def handle_request(
-        self, request: http.Request, send_answer: Callable[[bytes, bool], None]
+        self, request: http.Request, send_response: Callable[[bytes, bool], None]
     ) -> Callable[[], None] | None:
-        """Answer by ``send_answer(data, close)``, now or later; the result cancels the request."""
+        """Respond to a request with ``send_response(data, close)``, immediately or later.
+
+        Return a function that cancels the request, or ``None`` if it can't be cancelled.
+        """
 
     def may_close(self, has_open_request: bool) -> bool:
         """Return whether a connection may be closed."""
 
     @property
     def is_draining(self) -> bool:
-        """Whether connections close after their answer."""
+        """Whether connections are closed after their current response."""
 
 
 class ClientConnection(Connection):
-    """A client's connection."""
+    """A connection from a client."""
 
     transport: Any = None
 
@@ -47,19 +53,19 @@
         self.front, self.number = front, number
         self.reader = http.RequestReader()
         self.cancel_request: Callable[[], None] | None = None
-        self.has_open_request = False  # one awaits its answer
-        self.has_answered = False  # a request, before
-        # When it connected, had its last answer, or sent the first byte of a request.
+        self.has_open_request = False  # a request is being processed
+        self.has_answered = False  # at least one request was answered
+        # Time of the connect, of the last response, or of the first byte of a request.
         self.state_since_s = front.clock.seconds()
         self.is_closing = False
         self.lingered_bytes = 0
         self.is_paused = False
-        self.is_processing_scheduled = False  # further input waits for the next turn
-        self.is_last_request = False  # by the client's own wish
+        self.is_processing_scheduled = False  # buffered input is processed in the next turn
+        self.is_last_request = False  # the client asked to close the connection
 
     @property
     def state(self) -> ConnectionState:
-        """State of the connection."""
+        """Current state of the connection."""
         if self.is_closing:
             return ConnectionState.CLOSING
         if self.has_open_request:
@@ -74,7 +80,7 @@
         self.front.on_connected(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Read requests; input after our half-close is discarded, and its sender can tell."""
+        """Read requests; input after the half-close is discarded, and the client can tell from the close."""
         if self.is_closing:
             self.lingered_bytes += len(data)
             if self.lingered_bytes > MAX_LINGER_BYTES:
@@ -107,19 +113,19 @@
             self.has_open_request = True
             self.front.on_state_changed(self)
             self.is_last_request = event.closes_connection
-            cancel_request = self.front.handler.handle_request(event, self._send_answer)
-            # The answer may have been sent before the handler returned.
+            cancel_request = self.front.handler.handle_request(event, self._send_response)
+            # The handler may have responded before it returned.
             self.cancel_request = cancel_request if self.has_open_request else None
         if (
             not self.has_open_request
             and not self.is_closing
             and self.reader.state is not http.ReaderState.REST
         ):
-            # Danger: hundreds of requests at once on one connection would delay all others.
+            # Processing a long pipeline in one turn would delay all other connections.
             self.is_processing_scheduled = True
             self.front.clock.callLater(0, self._process_requests)
 
-    def _send_answer(self, data: bytes, close: bool) -> None:
+    def _send_response(self, data: bytes, close: bool) -> None:
         if not self.has_open_request:
             return
         self.has_open_request, self.cancel_request, self.has_answered = False, None, True
@@ -144,9 +150,9 @@
             self.transport.abortConnection()
 
     def finish(self, data: bytes = b"") -> None:
-        """Send the last answer, if any, half-close at once, and discard for a moment what still comes.
+        """Send the last response, if any, half-close, and discard further input for a short time.
 
-        Danger: a close over bytes that were not read is a reset, and destroys the answer.
+        Closing a socket with unread input would send a reset, and the client could lose the response.
         """
         if self.has_open_request and not self.front.handler.may_close(self.has_open_request):
             return
@@ -161,27 +167,27 @@
         half_close(self.transport)
 
     def finish_with_status(self, status: int) -> None:
-        """Send the status as the last answer."""
+        """Send a response with the status as the last one."""
         self.finish(http.encode_response(status, close=True))
 
     def reject(self) -> None:
-        """Answer 503 and release the descriptor at once: there are too many connections."""
+        """Respond with 503 and close immediately, because there are too many connections."""
         self.is_closing = True
         self._write(http.encode_response(503, close=True))
         close_now(self.transport)
 
-    def close_if_quiet(self) -> None:
-        """Half-close, unless unread input may be a request: it is read in the next turn, and answered.
+    def close_if_idle(self) -> None:
+        """Half-close, unless there is unread input, which is read in the next turn and may be a request.
 
-        What comes behind the half-close is left unread. Danger: a request that is read and has no answer is
-        lost; one that is reset unread is sent again by its client.
+        Input after the half-close is not read: a client sends a request again after a reset, but a request
+        that was read without a response would be lost.
         """
         if not has_unread_bytes(self.transport):
             self.finish()
             self.transport.pauseProducing()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Cancel the open request, if there is one."""
+        """Cancel the open request, if any."""
         self.front.on_closed(self)
         cancel_request, self.cancel_request = self.cancel_request, None
         if cancel_request is not None:
@@ -190,7 +196,7 @@
 
 
 class Front(Factory):
-    """All client connections, ``max_connections`` of them at most."""
+    """Server of at most ``max_connections`` client connections."""
 
     noisy = False
 
@@ -201,13 +207,11 @@
         self.accepted_count = 0
         self.bad_request_count = 0
         self.bad_request_log = RateLimitedLog(clock.seconds)
-        self.eviction_counts: dict[
-            str, int
-        ] = {}  # at the connection limit, by what became of which connection
+        self.eviction_counts: dict[str, int] = {}  # by outcome: rejected, answered, unanswered
         clock.callLater(SWEEP_INTERVAL_S, self._sweep)
 
     def buildProtocol(self, addr: Any) -> ClientConnection:
-        """Create the protocol of a new connection."""
+        """Return the protocol of a new connection."""
         self.accepted_count += 1
         return ClientConnection(self, self.accepted_count)
 
@@ -227,73 +231,81 @@
         self.on_state_changed(connection)
 
     def _choose_eviction(self) -> ClientConnection | None:
-        """Return the connection to evict, ``None`` if each that may be evicted has an unread request."""
-        # Danger: with a connection whose request is still unread, that request would be lost.
+        """Return the connection to evict; ``None`` if all candidates have unread input.
+
+        A request that has not been read yet would be lost with its connection.
+        """
         candidates = self._eviction_queue.candidates(MAX_EVICTION_CANDIDATES)
         may_close = self.handler.may_close
         return next(
             (
-                each
-                for each in candidates
-                if may_close(each.has_open_request) and not has_unread_bytes(each.transport)
+                connection
+                for connection in candidates
+                if may_close(connection.has_open_request) and not has_unread_bytes(connection.transport)
             ),
             None,
         )
 
     def on_state_changed(self, connection: ClientConnection) -> None:
-        """Keep a connection in its place among those that may be evicted."""
+        """Update the position of a connection in the eviction queue."""
         if connection.number in self.connections:
             self._eviction_queue.update(
                 connection.number, connection, connection.state, connection.has_answered
             )
 
     def on_closed(self, connection: ClientConnection) -> None:
-        """Forget a connection that is gone."""
+        """Unregister a closed connection."""
         self.connections.pop(connection.number, None)
         self._eviction_queue.remove(connection.number)
 
     def drain(self) -> None:
-        """Close connections between requests. Open requests are answered; new connections may send one."""
-        for each in list(self.connections.values()):
-            if each.state is ConnectionState.KEEP_ALIVE:
-                each.close_if_quiet()
+        """Close connections that are idle between requests.
+
+        Open requests are still answered, and new connections may still send one request.
+        """
+        for connection in list(self.connections.values()):
+            if connection.state is ConnectionState.KEEP_ALIVE:
+                connection.close_if_idle()
         self._apply_timeouts()
 
     def close_all(self) -> None:
-        """Close all connections without an open request; half a request is answered 503."""
-        for each in list(self.connections.values()):
-            match each.state:
+        """Close all connections without an open request; respond to partial requests with 503."""
+        for connection in list(self.connections.values()):
+            match connection.state:
                 case ConnectionState.KEEP_ALIVE | ConnectionState.NEW:
-                    each.close_if_quiet()
+                    connection.close_if_idle()
                 case ConnectionState.READING:
-                    each.finish_with_status(503)
+                    connection.finish_with_status(503)
 
     @property
     def has_requests(self) -> bool:
-        """Whether a request is open, or may still come on a connection that was not answered yet."""
+        """Whether a request is open or may still arrive on an unanswered connection."""
         return any(
-            each.state not in (ConnectionState.KEEP_ALIVE, ConnectionState.CLOSING)
-            for each in self.connections.values()
+            connection.state not in (ConnectionState.KEEP_ALIVE, ConnectionState.CLOSING)
+            for connection in self.connections.values()
         )
 
     @property
     def is_empty(self) -> bool:
-        """Whether all connections are closed, and late input was discarded."""
+        """Whether all connections are closed."""
         return not self.connections
 
     def _sweep(self) -> None:
-        self.clock.callLater(SWEEP_INTERVAL_S, self._sweep)  # first, whatever becomes of this one
+        self.clock.callLater(SWEEP_INTERVAL_S, self._sweep)  # first, in case this sweep raises
         self._apply_timeouts()
 
     def _apply_timeouts(self) -> None:
         now = self.clock.seconds()
-        for each in list(self.connections.values()):
+        for connection in list(self.connections.values()):
             match choose_action(
-                each.state, each.has_answered, now - each.state_since_s, self.handler.is_draining
+                connection.state,
+                connection.has_answered,
+                now - connection.state_since_s,
+                self.handler.is_draining,
             ):
                 case ConnectionAction.CLOSE:
-                    close_now(each.transport)
+                    close_now(connection.transport)
                 case ConnectionAction.TIME_OUT_REQUEST:
-                    each.finish_with_status(408)
+                    connection.finish_with_status(408)
                 case ConnectionAction.HALF_CLOSE:
-                    each.close_if_quiet()
+                    connection.close_if_idle()
--- a/honeybarrow/node/log_records.py
+++ b/honeybarrow/node/log_records.py
@@ -1,6 +1,6 @@
-"""Encoding of write-ahead log records: length, checksum, type code, content.
+"""Binary encoding of write-ahead log records: length, CRC-32, type code, content.
 
-Decoding ends at the first record that is cut off, damaged or unknown.
+Decoding stops at the first record that is truncated, corrupt or of an unknown type.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
     MessageCompleted,
 )
 
-# Danger: type codes and layouts are stored. A change of one needs a reader of the earlier form.
-_RECORD_HEADER = struct.Struct("<II")  # length and CRC-32 of what follows
-_ATTEMPT_STARTED = struct.Struct("<cHQ")  # type code, attempt, start in microseconds; then the message id
-_ATTEMPT_FINISHED = struct.Struct("<cH?")  # type code, attempt, not run; then the message id
-_FINAL_RESULT = struct.Struct("<c?I")  # type code, is returned, milliseconds to wait; then the message id
-_MESSAGE_ACCEPTED = struct.Struct("<cI")  # type code, length of the JSON fields; then these and the body
-MAX_RECORD_BYTES = 1 << 18  # a body has 64 KiB at most
-# Danger: earlier builds end reading at an unknown type code, and would lose what comes behind. So an anchor
-# is written as the completion of a message that can't exist (ids have no space), which they skip.
+# Type codes and layouts are stored on disk; the decoder has to keep reading every earlier layout.
+_RECORD_HEADER = struct.Struct("<II")  # length and CRC-32 of the payload
+_ATTEMPT_STARTED = struct.Struct("<cHQ")  # type code, attempt, start in microseconds; message id follows
+_ATTEMPT_FINISHED = struct.Struct("<cH?")  # type code, attempt, not run; message id follows
+_FINAL_RESULT = struct.Struct("<c?I")  # type code, is returned, retry delay in ms; message id follows
+_MESSAGE_ACCEPTED = struct.Struct("<cI")  # type code, length of the JSON fields; fields and body follow
+MAX_RECORD_BYTES = 1 << 18
+# An anchor is encoded as the completion of a message whose id is invalid because it contains a space.
+# Versions without anchors skip it; at a new type code they would stop and lose the records after it.
 _ANCHOR_PREFIX = "clock "
 
 
 def encode_record(record: LogRecord | ClockAnchor) -> bytes:
-    """Return the bytes of one record."""
+    """Return the encoded record."""
     match record:
         case MessageAccepted():
             fields = json.dumps(_accepted_fields(record), separators=(",", ":")).encode()
@@ -77,12 +77,12 @@
 
 
 def max_bytes_of_message(message: str, body_bytes: int) -> int:
-    """Return the most bytes that all records of a message together take while it is pending."""
+    """Return an upper bound of the size of all records of a pending message, in bytes."""
     return 512 + 8 * len(message) + body_bytes
 
 
 def decode_records(data: bytes) -> Iterator[LogRecord | ClockAnchor]:
-    """Yield the records of one segment, up to its end, a torn tail, or what is no record."""
+    """Yield the records of a segment up to its end or the first invalid record."""
     offset = 0
     while offset + _RECORD_HEADER.size <= len(data):
         length, checksum = _RECORD_HEADER.unpack_from(data, offset)
@@ -93,7 +93,7 @@
         offset += length
         try:
             record = _decode_payload(payload)
-        except (ValueError, TypeError, struct.error):  # written by another version of the program
+        except (ValueError, TypeError, struct.error):  # written by an incompatible version
             return
         yield record
 
@@ -114,7 +114,7 @@
         case b"O":
             text = payload[1:].decode()
             return _decode_anchor(text) if text.startswith(_ANCHOR_PREFIX) else MessageCompleted(text)
-    raise ValueError("unknown type of record")
+    raise ValueError("unknown record type")
 
 
 def _decode_anchor(text: str) -> ClockAnchor:
@@ -128,7 +128,8 @@
     message, class_name, destination, expires_at_us, tenant, idempotency_key, *history = json.loads(
         payload[start : start + length]
     )
-    attempt_count, ambiguous_at_us, in_flight, result, *later = history  # earlier builds wrote fewer fields
+    # Earlier versions did not write the order key and the sequence number.
+    attempt_count, ambiguous_at_us, in_flight, result, *optional = history
     return MessageAccepted(
         str(message),
         str(class_name),
@@ -141,6 +142,6 @@
         None if ambiguous_at_us is None else int(ambiguous_at_us),
         tuple(InFlightAttempt(int(attempt), int(started_us)) for attempt, started_us in in_flight),
         None if result is None else DecidedResult(bool(result[0]), int(result[1])),
-        str(later[0]) if later else "",
-        int(later[1]) if len(later) > 1 else 0,
+        str(optional[0]) if optional else "",
+        int(optional[1]) if len(optional) > 1 else 0,
     )
--- a/honeybarrow/node/main.py
+++ b/honeybarrow/node/main.py
@@ -1,4 +1,4 @@
-"""The entry point of the platform process. The only module of the package that names the reactor."""
+"""Entry point of the platform process; the only module of the package that uses the global reactor."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 CONFIG_ERROR_STATUS = 2
 FAILURE_STATUS = 1
 CONFIG_READ_TRIES, CONFIG_READ_DELAY_S = 20, 0.1
-STRICT_GUARD_VARIABLE = "HONEYBARROW_STRICT_GUARD"  # set by tests: a violation of the guard is raised
+STRICT_GUARD_VARIABLE = "HONEYBARROW_STRICT_GUARD"  # if set, guard violations raise an exception
 log = logging.getLogger("honeybarrow.node")
 
 
@@ -31,17 +31,17 @@
     """Run one forwarder until SIGTERM; return the exit status."""
     _configure_logging()
     try:
-        config = _read_config_patiently()
+        config = _read_config_with_retries()
     except ConfigError as error:
         _log_config_error(error)
         return CONFIG_ERROR_STATUS
     return FAILURE_STATUS if _run(config) else 0
 
 
-def _read_config_patiently() -> ForwarderConfig:
-    """Read the configuration; a file that the system can't read now is tried again for two seconds.
+def _read_config_with_retries() -> ForwarderConfig:
+    """Read the configuration; retry for two seconds if the file can't be read.
 
-    :raises ConfigError: if it can't be read, or at once if it can't be used.
+    :raises ConfigError: if the file still can't be read, or immediately if it is invalid
     """
     for _ in range(CONFIG_READ_TRIES - 1):
         try:
@@ -60,7 +60,7 @@
 
 
 def _log_reactor_failure(event: dict[str, Any]) -> None:
-    """Log what Twisted caught: an exception of a protocol or timer, after which the reactor goes on."""
+    """Log an exception of a protocol or timer that Twisted caught; the reactor continues."""
     failure = event.get("log_failure")
     if failure is not None:
         log.error("reactor_failure %s", failure.getTraceback())
@@ -71,7 +71,7 @@
 
 
 def _run(config: ForwarderConfig) -> list[Exception]:
-    """Run until the reactor stops; return the errors of the policy, which end the process."""
+    """Run until the reactor stops; return the errors that stopped it."""
     publisher: Any = globalLogPublisher
     publisher.addObserver(_log_reactor_failure)
     reactor = get_reactor()
--- a/honeybarrow/node/process.py
+++ b/honeybarrow/node/process.py
@@ -1,4 +1,7 @@
-"""One forwarder process on the platform: its parts, its start, and what signals change."""
+"""A forwarder process on the platform.
+
+Creates the parts of the process, recovers messages at the start and handles signals.
+"""
 
 from __future__ import annotations
 
@@ -30,15 +33,14 @@
 from honeybarrow.node.write_ahead_log import WriteAheadLog
 from honeybarrow.recovery import FinalResult, ResumedMessage, plan_recovery
 
-MAX_LOG_DISK_SHARE = 0.8  # of the state folder's bound, for the write-ahead log
-# For the first list where lists are pushed: a connect whose first SYN is lost needs 1 s.
-FIRST_LIST_TIMEOUT_S = 1.2
-MAX_STALL_US = 150_000  # the platform may hold a process up for so long at any point
-LOG_RETRY_INTERVAL_S = 0.1  # while the state folder fails
+MAX_LOG_DISK_SHARE = 0.8  # share of the disk limit available to the write-ahead log
+FIRST_LIST_TIMEOUT_S = 1.2  # longer than the retransmission of a lost SYN after 1 s
+MAX_STALL_US = 150_000  # longest pause of the process by the platform
+LOG_RETRY_INTERVAL_S = 0.1
 LISTEN_BACKLOG = 512
 RELOAD_TRIES, RELOAD_RETRY_DELAY_S = 8, 0.2
 LISTEN_RETRY_DELAY_S = 0.2
-LISTEN_TIMEOUT_S = 20.0  # a start has to be over within 30 s
+LISTEN_TIMEOUT_S = 20.0  # leaves time for recovery within the 30 s allowed for a start
 log = logging.getLogger("honeybarrow.node")
 
 
@@ -50,9 +52,9 @@
 
 
 class ForwarderProcess:
-    """The parts of one forwarder process.
+    """The components of one forwarder process.
 
-    ``on_failure`` gets an error of the policy, after which the process can't go on.
+    :param on_failure: called with an error after which the process can't continue
     """
 
     def __init__(
@@ -78,11 +80,11 @@
         self.shutdown = self._build_shutdown()
         self.status_log = self._build_status_log()
         self.listener: Any = None
-        self._first_list_timer: Any = None  # while the first list is waited for
-        self._log_retry: Any = None  # while the log can't be written
+        self._first_list_timer: Any = None  # set while waiting for the first list
+        self._log_retry: Any = None  # set while the log can't be written
         self.write_ahead_log.on_availability_changed = self._on_log_availability
 
-    # parts
+    # components
 
     def _build_write_ahead_log(self) -> WriteAheadLog:
         max_bytes = int(self.config.limits.disk_bytes * MAX_LOG_DISK_SHARE)
@@ -173,7 +175,7 @@
     # start
 
     def start(self) -> None:
-        """Listen, resume what an earlier process had accepted, and then be ready."""
+        """Listen, recover the messages of earlier processes, and become ready."""
         self._listen(self.reactor.seconds() + LISTEN_TIMEOUT_S)
         self.endpoints.apply_update(self.config.saved_list)
         self.forwarder.apply_membership_update(self.config.saved_list.to_membership_update(UpdateKind.SAVED))
@@ -181,25 +183,25 @@
         if self.config.settings.polls_endpoint_list:
             self._recover()
             return
-        # Danger: where lists are pushed, discovery's list counts as known from the first moment, and the
-        # saved list may be old. So nothing is sent before the list has come, or is late.
+        # Pushed lists are in force as soon as discovery sends them, and the saved list may be outdated. So
+        # nothing is sent until the first list arrives or times out.
         self._first_list_timer = self.reactor.callLater(FIRST_LIST_TIMEOUT_S, self._recover)
         self.discovery.subscribe()
 
-    def _listen(self, until_s: float) -> None:
-        """Listen; as long as the port can't be had, try again: it may still be an earlier process's."""
+    def _listen(self, deadline_s: float) -> None:
+        """Listen; retry until the deadline, because an earlier process may still use the port."""
         host, port = self.config.listen_address
         try:
             self.listener = self.reactor.listenTCP(port, self.front, backlog=LISTEN_BACKLOG, interface=host)
         except (CannotListenError, OSError) as error:
-            if self.reactor.seconds() >= until_s:
+            if self.reactor.seconds() >= deadline_s:
                 self._on_failure(ListenError(f"can't listen on {host}:{port}", str(error)))
                 return
             log.warning("listen_failed error=%r retry_in_s=%.1f", str(error), LISTEN_RETRY_DELAY_S)
-            self.reactor.callLater(LISTEN_RETRY_DELAY_S, self._listen, until_s)
+            self.reactor.callLater(LISTEN_RETRY_DELAY_S, self._listen, deadline_s)
 
     def _recover(self) -> None:
-        """Resume or fail what an earlier process had accepted; the list is as new as it can be had."""
+        """Resume or fail the messages that earlier processes accepted, then become ready."""
         if self._first_list_timer is not None and self._first_list_timer.active():
             self._first_list_timer.cancel()
         self._first_list_timer = None
@@ -277,7 +279,7 @@
         self._on_membership_update(update)
 
     def _on_list_outdated(self, is_outdated: bool) -> None:
-        """Hold new calls while the list is outdated; messages wait, and it costs them no attempt."""
+        """Suspend new calls while the list is outdated; waiting messages lose no attempt."""
         version = self.discovery.version or 0
         if is_outdated:
             log.warning("endpoint_list_outdated version=%d calls=held", version)
@@ -294,7 +296,7 @@
     # signals
 
     def handle_signal(self, request: SignalRequest) -> None:
-        """Handle SIGHUP or SIGTERM, in the reactor's thread."""
+        """Handle a signal; called in the reactor's thread."""
         match request:
             case SignalRequest.RELOAD:
                 self.reload()
@@ -302,10 +304,10 @@
                 self.shutdown.start()
 
     def reload(self, tries_left: int = RELOAD_TRIES) -> None:
-        """Read the configuration again: discovery may have another address. All else stays as it started.
+        """Read the configuration again and apply a new discovery address; ignore all other changes.
 
-        A file that can't be read or used is tried again for a while: it may be about to be replaced, or
-        descriptors may have run short.
+        A file that can't be read or is invalid is tried again, because it may be in the middle of a
+        replacement, or the process may be short of descriptors.
         """
         try:
             config = read_config(os.environ)
--- a/honeybarrow/node/segment_files.py
+++ b/honeybarrow/node/segment_files.py
@@ -1,7 +1,7 @@
-"""The files of the write-ahead log: numbered segments that are appended to and removed from the oldest on.
+"""Segment files of the write-ahead log, numbered and removed oldest first.
 
-A write that fails leaves no part of a record where another may follow: what was written of it is cut off, or,
-if that fails too, the segment is left and a new one begun, since reading ends at a torn record.
+Since reading stops at a torn record, no record may follow one. A partial write is truncated; if truncating
+fails, writing continues in a new segment.
 """
 
 from __future__ import annotations
@@ -12,27 +12,30 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-BLOCK_BYTES = 512  # the platform counts a file's size in blocks of so many
+BLOCK_BYTES = 512  # unit in which the platform counts disk usage
 _SEGMENT_PREFIX = "journal"
 _SEGMENT_FLAGS = os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
 
 
 @dataclass(frozen=True, slots=True)
 class Segment:
-    """The number of a segment and all its bytes."""
+    """Number and content of a segment."""
 
     number: int
     data: bytes
 
 
 class SegmentFiles:
-    """The segments in one folder. All methods but :meth:`close` raise ``OSError`` if the folder fails."""
+    """The segments in one folder.
+
+    All methods except :meth:`close` raise ``OSError`` if a file operation fails.
+    """
 
     def __init__(self, folder: str) -> None:
         self.folder = folder
-        self.sizes: OrderedDict[int, int] = OrderedDict()  # of each segment, oldest first
-        self._descriptor = -1  # of the newest segment, once this process has opened it
-        self._has_torn_tail = False  # the newest segment ends in a part of a record
+        self.sizes: OrderedDict[int, int] = OrderedDict()  # bytes by segment number, oldest first
+        self._descriptor = -1  # of the newest segment; -1 if this process has not opened it
+        self._has_torn_tail = False  # whether the newest segment ends in a partial record
 
     @property
     def newest(self) -> int:
@@ -41,12 +44,12 @@
 
     @property
     def can_append(self) -> bool:
-        """Whether the newest segment is this process's own and ends in a whole record."""
+        """Whether this process opened the newest segment and it ends in a complete record."""
         return self._descriptor >= 0 and not self._has_torn_tail
 
     @property
     def disk_usage_bytes(self) -> int:
-        """Size of all segments, as the platform counts it."""
+        """Disk usage of all segments in bytes, counted in whole blocks."""
         return sum(-(-size // BLOCK_BYTES) * BLOCK_BYTES for size in self.sizes.values())
 
     def _path(self, segment: int) -> str:
@@ -68,14 +71,17 @@
             return file.read()
 
     def open_next(self) -> None:
-        """Continue in a new segment."""
+        """Create the next segment and make it the newest."""
         segment = self.newest + 1
         descriptor = os.open(self._path(segment), _SEGMENT_FLAGS, 0o600)
         self._close_descriptor()
         self._descriptor, self.sizes[segment], self._has_torn_tail = descriptor, 0, False
 
     def append(self, data: bytes) -> None:
-        """Append to the newest segment, all of it or, as far as readers can tell, nothing."""
+        """Append all of ``data`` to the newest segment.
+
+        On failure no part of it is visible to readers.
+        """
         written = 0
         try:
             while written < len(data):
@@ -84,12 +90,12 @@
                     raise OSError(errno.EIO, os.strerror(errno.EIO))
                 written += count
         except OSError:
-            self._cut_off(written)
+            self._truncate(written)
             raise
         self.sizes[self.newest] += written
 
-    def _cut_off(self, written: int) -> None:
-        """Remove what a failed write may have left."""
+    def _truncate(self, written: int) -> None:
+        """Remove the ``written`` bytes of a failed write."""
         try:
             os.ftruncate(self._descriptor, self.sizes[self.newest])
         except OSError:
@@ -97,7 +103,7 @@
             self.sizes[self.newest] += written
 
     def remove(self, segment: int) -> None:
-        """Remove a segment; it counts as long as that fails."""
+        """Remove a segment; if that fails, it still counts towards the disk usage."""
         with contextlib.suppress(FileNotFoundError):
             os.unlink(self._path(segment))
         del self.sizes[segment]
@@ -109,5 +115,5 @@
     def _close_descriptor(self) -> None:
         descriptor, self._descriptor = self._descriptor, -1
         if descriptor >= 0:
-            with contextlib.suppress(OSError):  # Linux has released it whatever close(2) returns
+            with contextlib.suppress(OSError):  # Linux releases the descriptor even if close() fails
                 os.close(descriptor)
--- a/honeybarrow/node/shutdown.py
+++ b/honeybarrow/node/shutdown.py
@@ -1,4 +1,4 @@
-"""The orderly end of the process after SIGTERM."""
+"""Graceful shutdown of the process after SIGTERM."""
 
 from __future__ import annotations
 
@@ -13,15 +13,18 @@
 from honeybarrow.node.write_ahead_log import WriteAheadLog
 from honeybarrow.ports import Clock
 
-MIN_SHUTDOWN_S = 0.6  # new connections come for so long after SIGTERM
+MIN_SHUTDOWN_S = 0.6  # clients may still connect for this long after SIGTERM
 CHECK_INTERVAL_S = 0.05
-CLOSE_GRACE_US = 150_000  # for the last answers, and for discarding what comes after our half-close
+CLOSE_GRACE_US = 150_000  # for the last responses and for discarding input after the half-close
 CLOSE_CHECK_INTERVAL_S = 0.01
 log = logging.getLogger("honeybarrow.node")
 
 
 class GracefulShutdown:
-    """Serves open messages as long as there is time; what is left stays in the log for the next process."""
+    """Drains open messages until they are complete or time runs out.
+
+    Messages that are still pending stay in the write-ahead log for the next process.
+    """
 
     def __init__(
         self,
@@ -41,11 +44,11 @@
 
     @property
     def age_us(self) -> int | None:
-        """Time since the shutdown began; ``None`` if it has not."""
+        """Time since the start of the shutdown in microseconds; ``None`` if it has not started."""
         return None if self._started_us is None else self.clock_us() - self._started_us
 
     def start(self) -> None:
-        """Begin, unless the shutdown has begun before."""
+        """Start the shutdown; do nothing if it has started already."""
         if self._started_us is not None:
             return
         self._started_us = self.clock_us()
@@ -60,7 +63,7 @@
 
     def _check_progress(self, started_us: int) -> None:
         age_us = self.clock_us() - started_us
-        # Danger: a client that has just connected has a request on the way, which fails with the connection.
+        # Closing a new connection too early would fail the request that its client is about to send.
         is_idle = (
             self.forwarder.open_count == 0
             and not self.notifications.unacknowledged
@@ -73,13 +76,13 @@
             return
         self.clock.callLater(CHECK_INTERVAL_S, self._check_progress, started_us)
 
-    def _close(self, until_us: int) -> None:
-        # Danger: a process that ends resets connections with unread input, and the answers on them; and what
-        # was read in its last turn would be neither accepted nor rejected. So requests are rejected from here
-        # on, and input is discarded for a while.
+    def _close(self, deadline_us: int) -> None:
+        # When a process exits, connections with unread input are reset, and clients may lose responses.
+        # Requests read in the last turn would get no response at all. So requests are rejected from now on,
+        # and input is discarded until all connections are closed or the deadline passes.
         self.front.close_all()
-        if not self.front.is_empty and self.clock_us() < until_us:
-            self.clock.callLater(CLOSE_CHECK_INTERVAL_S, self._close, until_us)
+        if not self.front.is_empty and self.clock_us() < deadline_us:
+            self.clock.callLater(CLOSE_CHECK_INTERVAL_S, self._close, deadline_us)
             return
         log.info("process_stopped pending_messages=%d", len(self.write_ahead_log.pending_messages.by_id))
         self.write_ahead_log.close()
--- a/honeybarrow/node/signals.py
+++ b/honeybarrow/node/signals.py
@@ -1,6 +1,6 @@
-"""SIGHUP and SIGTERM, handled from the first moment of the process.
+"""Signal handlers for SIGHUP, SIGTERM and SIGINT.
 
-Imports little of the standard library.
+They are installed before the other modules are loaded, so this module imports little.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class SignalRequest(enum.StrEnum):
-    """What a signal asks of the process."""
+    """The action that a signal requests."""
 
     RELOAD = "reload"
     SHUT_DOWN = "stop"
@@ -32,14 +32,17 @@
 
 
 def install_handlers() -> None:
-    """Install the handlers; requests that come before :func:`deliver_to` are kept."""
+    """Install the handlers; requests are queued until :func:`deliver_to` is called."""
     for number in _REQUESTS:
         signal.signal(number, _on_signal)
     signal.signal(signal.SIGPIPE, signal.SIG_IGN)
 
 
 def deliver_to(handler: Callable[[SignalRequest], None]) -> None:
-    """Pass all requests to ``handler`` from now on, those kept first. It runs between two bytecodes."""
+    """Pass queued and future requests to ``handler``.
+
+    The handler is called from a signal handler, between any two bytecodes of the main thread.
+    """
     global _handler
     _handler = handler
     while _pending:
--- a/honeybarrow/node/submission.py
+++ b/honeybarrow/node/submission.py
@@ -1,4 +1,7 @@
-"""Between the front and the core: requests become submissions, results become answers and notifications."""
+"""Submission of clients' requests to the forwarder.
+
+Requests become submissions, and their results become responses and notifications.
+"""
 
 from __future__ import annotations
 
@@ -29,47 +32,47 @@
 from honeybarrow.recovery import FinalResult, ResumedMessage
 from honeybarrow.settings import Idempotency
 
-MAX_REMEMBERED_IDS = 4096  # of completed messages, so that none is accepted again as a new one
-SendAnswer = Callable[[bytes, bool], None]  # the bytes, and whether the connection is closed after them
+MAX_REMEMBERED_IDS = 4096  # recent message ids kept to reject duplicates of completed messages
+SendResponse = Callable[[bytes, bool], None]  # response bytes, whether to close the connection afterwards
 
 
 class _PendingRequest:
-    """A client's request until it is answered, and then its message until that is completed."""
+    """A client's request until its response, and its accepted message until the final result."""
 
-    def __init__(self, service: SubmissionService, message: str, send_answer: SendAnswer) -> None:
-        self.service, self.message, self.send_answer = service, message, send_answer
+    def __init__(self, service: SubmissionService, message: str, send_response: SendResponse) -> None:
+        self.service, self.message, self.send_response = service, message, send_response
         self.is_accepted = False
 
     def accept(self) -> None:
-        """Answer 202: the message is in the write-ahead log."""
+        """Respond with 202 after the message has been written to the write-ahead log."""
         self.is_accepted = True
-        self.send_answer(http.encode_response(202), False)
+        self.send_response(http.encode_response(202), False)
 
-    def on_result(self, answer: DeliveryResult) -> None:
-        """Report a final result: by a notification after 202, else in the answer."""
+    def on_result(self, result: DeliveryResult) -> None:
+        """Report the final result: after 202 by a notification, otherwise in the response."""
         if self.is_accepted:
-            self.service.on_result(self.message, answer)
-        elif isinstance(answer, Refused):
-            status = 503 if isinstance(answer, NotRecorded) else 429
-            retry_after = _retry_after_field(answer.retry_after_us)
-            self.send_answer(http.encode_response(status, retry_after, answer.reason.encode()), False)
+            self.service.on_result(self.message, result)
+        elif isinstance(result, Refused):
+            status = 503 if isinstance(result, NotRecorded) else 429
+            retry_after = _retry_after_field(result.retry_after_us)
+            self.send_response(http.encode_response(status, retry_after, result.reason.encode()), False)
         else:
-            self.send_answer(http.encode_response(500), False)
+            self.send_response(http.encode_response(500), False)
 
     def cancel(self, result: Deferred[DeliveryResult]) -> None:
-        """Withdraw the message of a client that has left, unless it was accepted.
+        """Withdraw the message of a disconnected client, unless it was accepted.
 
-        Before 202 the client submits again under another id; after it, leaving means nothing.
+        Without a 202 the client submits the message again under another id.
         """
         if not self.is_accepted:
             result.cancel()
 
 
 class SubmissionService:
-    """Answers clients' requests and reports final results.
+    """Service that responds to clients' requests and reports final results.
 
-    ``is_destination_listed``: whether a destination has been in the endpoint list; ``rng``: spreads
-    Retry-After.
+    :param is_destination_listed: return whether a destination has appeared in the endpoint list
+    :param rng: source of the jitter of ``Retry-After``
     """
 
     def __init__(
@@ -86,57 +89,60 @@
         self.tenants = {tenant.name: None for tenant in forwarder.settings.tenants}
         self.is_ready = False
         self.is_draining = False
-        self.is_closed = False  # the process is about to end: nothing is accepted any more
-        self.rejection_log = RateLimitedLog(lambda: forwarder.now_us() / 1e6)  # a wall clock may step back
+        self.is_closed = False  # no message is accepted because the process is about to exit
+        self.rejection_log = RateLimitedLog(lambda: forwarder.now_us() / 1e6)  # monotonic clock
         self.rejection_counts: dict[str, int] = {}  # by status and reason
         self._recent_ids: OrderedDict[str, None] = OrderedDict()
 
-    def handle_request(self, request: http.Request, send_answer: SendAnswer) -> Callable[[], None] | None:
-        """Answer a request, at once or when its message is recorded; the result cancels the request."""
+    def handle_request(self, request: http.Request, send_response: SendResponse) -> Callable[[], None] | None:
+        """Respond to a request, immediately or once its message is recorded.
+
+        Return a function that cancels the request, or ``None`` if it has been answered.
+        """
         path = request.path.split("?")[0]
         if path == "/up":
-            self._answer_readiness(request, send_answer)
+            self._send_readiness(request, send_response)
             return None
         if request.method != "POST":
             status = 404 if request.method == "GET" else 405
-            send_answer(http.encode_response(status, close=True), True)
+            send_response(http.encode_response(status, close=True), True)
             return None
         parsed = parse_submission(request, self.forwarder.sender.classes, self.tenants)
         if isinstance(parsed, RejectedRequest):
-            self._reject_invalid(parsed, send_answer)
+            self._reject_invalid(parsed, send_response)
             return None
-        return self._submit(parsed, send_answer)
+        return self._submit(parsed, send_response)
 
-    def _answer_readiness(self, request: http.Request, send_answer: SendAnswer) -> None:
+    def _send_readiness(self, request: http.Request, send_response: SendResponse) -> None:
         if request.method not in ("GET", "HEAD"):
-            send_answer(http.encode_response(405, close=True), True)
+            send_response(http.encode_response(405, close=True), True)
         else:
             status = 200 if self.is_ready and not self.is_draining else 503
-            send_answer(http.encode_response(status), False)
+            send_response(http.encode_response(status), False)
 
-    def _reject_invalid(self, rejected: RejectedRequest, send_answer: SendAnswer) -> None:
+    def _reject_invalid(self, rejected: RejectedRequest, send_response: SendResponse) -> None:
         self._count_rejection(f"{rejected.status} {rejected.reason}")
         remedy = "compare the client's request with the settings' classes, tenants and the protocol"
-        # What a client names stays out of the log: it may be another customer's.
+        # Values from the request are not logged because they may belong to another customer.
         self.rejection_log.warn(f"request_rejected reason={rejected.reason!r}", str(rejected.status), remedy)
-        send_answer(http.encode_response(rejected.status, body=rejected.reason.encode(), close=True), True)
+        send_response(http.encode_response(rejected.status, body=rejected.reason.encode(), close=True), True)
 
-    def _reject_retriable(self, send_answer: SendAnswer, reason: str) -> None:
+    def _reject_retriable(self, send_response: SendResponse, reason: str) -> None:
         self._count_rejection(f"503 {reason}")
         delay_us = compute_retry_after_us(0, self.forwarder.settings.max_retry_after_us, self.rng)
-        send_answer(http.encode_response(503, _retry_after_field(delay_us), reason.encode()), False)
+        send_response(http.encode_response(503, _retry_after_field(delay_us), reason.encode()), False)
 
-    def _submit(self, submitted: SubmittedMessage, send_answer: SendAnswer) -> Callable[[], None] | None:
+    def _submit(self, submitted: SubmittedMessage, send_response: SendResponse) -> Callable[[], None] | None:
         message = submitted.message
         if message in self._recent_ids or self.forwarder.is_known(message):
             self._count_rejection("409 known")
-            send_answer(http.encode_response(409, body=b"this id is known"), False)
+            send_response(http.encode_response(409, body=b"this id is known"), False)
             return None
-        if reason := self._shed_reason(submitted):
-            self._reject_retriable(send_answer, reason)
+        if reason := self._reserve_capacity(submitted):
+            self._reject_retriable(send_response, reason)
             return None
         self._remember_id(message)
-        request = _PendingRequest(self, message, send_answer)
+        request = _PendingRequest(self, message, send_response)
         expires_at_us = self.write_ahead_log.now_us() + submitted.time_left_us
         idempotency, order_key = self._idempotency_of(submitted.class_name), submitted.order_key
         result = self.forwarder.submit(
@@ -157,14 +163,17 @@
         result.addCallbacks(request.on_result, ignore_cancelled)
         return lambda: request.cancel(result)
 
-    def _shed_reason(self, submitted: SubmittedMessage) -> str:
-        """Return why it can't be accepted now; empty if it can, and log capacity is reserved then."""
+    def _reserve_capacity(self, submitted: SubmittedMessage) -> str:
+        """Reserve log capacity for a message.
+
+        Return the reason if the message can't be accepted now, otherwise an empty string.
+        """
         if self.is_closed:
             return "leaving"
         if not self.is_ready:
             return "not ready"
         if not self.is_destination_listed(submitted.destination):
-            return "destination not listed"  # retriable, since the destination may be new and its update late
+            return "destination not listed"  # retriable because the list update may be delayed
         if not self.write_ahead_log.is_available:
             return "can't be recorded"
         if not self.write_ahead_log.try_reserve(submitted.message, len(submitted.body)):
@@ -183,7 +192,7 @@
             self._recent_ids.popitem(last=False)
 
     def resume_message(self, resumed: ResumedMessage) -> None:
-        """Submit a message that an earlier process had accepted, with its history."""
+        """Submit a message that an earlier process accepted, with its attempt history."""
         accepted = resumed.accepted
         self._remember_id(accepted.message)
         payload = HttpPayload(
@@ -208,29 +217,29 @@
                 ambiguous_age_us=resumed.ambiguous_age_us,
             )
         )
-        result.addCallback(lambda answer: self.on_result(accepted.message, answer))
+        result.addCallback(lambda final_result: self.on_result(accepted.message, final_result))
 
     # final results
 
-    def on_result(self, message: str, answer: DeliveryResult) -> None:
-        """Handle the final result of an accepted message: all but a delivery are notified."""
-        match answer:
+    def on_result(self, message: str, result: DeliveryResult) -> None:
+        """Handle the final result of an accepted message; all results except a delivery are notified."""
+        match result:
             case Delivered():
                 pass
             case Refused(wait_us):
                 self.notify_result(FinalResult(message, True, wait_us // 1000))
             case Failed(retry_within_us=within_us, retry_after_us=wait_us):
-                # To submit again is harmless inside the key window, which the client knows.
+                # Within the idempotency key window the client may safely submit the message again.
                 self.notify_result(FinalResult(message, within_us is not None, wait_us // 1000))
 
     def notify_result(self, result: FinalResult) -> None:
-        """Record a final result and notify the platform of it; no other result follows."""
+        """Record a final result and notify the platform; no other result may follow."""
         self.write_ahead_log.record_final_result(result)
         self.guard.on_notification_due(result.message)
         self.notifications.add(result)
 
     def notify_recovered_result(self, result: FinalResult) -> None:
-        """Notify the platform of the result of a message that an earlier process had accepted."""
+        """Notify the platform of the final result of a message that an earlier process accepted."""
         accepted = self.write_ahead_log.pending_messages.by_id[result.message].accepted
         time_left_us = accepted.expires_at_us - self.write_ahead_log.now_us()
         expires_us = self.forwarder.now_us() + time_left_us
@@ -238,23 +247,23 @@
         self.notify_result(result)
 
     def select_notifiable(self, messages: Iterable[str]) -> list[str]:
-        """Return those messages whose final result may be notified now."""
+        """Return the messages whose final results may be notified now."""
         messages = list(messages)
         if self.write_ahead_log.commit():
             for message in messages:
                 self.guard.on_result_recorded(message)
         now_us = self.forwarder.now_us()
-        return [each for each in messages if self.guard.may_notify(each, now_us) is None]
+        return [message for message in messages if self.guard.may_notify(message, now_us) is None]
 
     def on_notifications_acknowledged(self, messages: list[str]) -> None:
-        """Complete messages whose notifications the platform has acknowledged."""
+        """Complete the messages whose notifications the platform acknowledged."""
         for message in messages:
             self.guard.on_acknowledged(message)
             self.write_ahead_log.record_completed(message)
         self.write_ahead_log.commit()
 
     def may_close(self, has_open_request: bool) -> bool:
-        """Return whether a client's connection may be closed, for any reason of this process's own."""
+        """Return whether this process may close a client's connection on its own initiative."""
         return self.guard.may_close_connection(has_open_request, is_client_gone=False) is None
 
 
--- a/honeybarrow/node/write_ahead_log.py
+++ b/honeybarrow/node/write_ahead_log.py
@@ -1,9 +1,9 @@
 """The write-ahead log: append-only segment files in the state folder.
 
-Segments are removed from the oldest on, so a record never outlives the acceptance of its message. When the
-files come near their bound, the messages that are still pending in the oldest segment are copied forward, one
-record each, and the segment is removed (compaction). A committed record outlives the process, not the
-machine: nothing is synced.
+Segments are removed oldest first, so the acceptance of a message is never removed after its later records.
+When the total size approaches its limit, the oldest segment is compacted: its pending messages are copied to
+the newest segment, one record each, and the segment is removed. Committed records survive a crash of the
+process but not of the machine, because files are not synced.
 """
 
 from __future__ import annotations
@@ -27,53 +27,59 @@
     PendingMessages,
 )
 
-SEGMENT_COUNT = 16  # a segment is closed at this part of the bound
-MAX_PENDING_SHARE = 0.35  # of the bound, for the records of pending messages
-COMPACTION_SHARE = 0.5  # of the bound, from which on the oldest segment is compacted
+SEGMENT_COUNT = 16  # segments that fit into the size limit
+MAX_PENDING_SHARE = 0.35  # share of the size limit available to records of pending messages
+COMPACTION_SHARE = 0.5  # share of the size limit at which compaction starts
 MIN_SEGMENT_BYTES = 2048
-_UNWRITTEN_SEGMENT = -1  # of messages whose record of acceptance is not committed yet
+_UNWRITTEN_SEGMENT = -1  # segment number of messages whose acceptance is not committed yet
 log = logging.getLogger("honeybarrow.node")
 
 
-def _ignore(is_available: bool) -> None: ...
+def _do_nothing(is_available: bool) -> None: ...
 
 
 class WriteAheadLog:
-    """Records accepted messages until they are completed; see :class:`honeybarrow.ports.MessageLog`.
+    """A log of accepted messages; implements :class:`honeybarrow.ports.MessageLog`.
 
-    ``folder``: where the segments are; ``max_bytes``: bound of all files together. A folder that fails makes
-    the log unavailable until a write succeeds: nothing is accepted, all other records wait in their order.
+    :param folder: directory of the segment files
+    :param max_bytes: limit of the total size of all segments
+
+    After a failed write the log is unavailable until a write succeeds. Meanwhile no message is accepted, and
+    all other records are queued in order.
     """
 
     def __init__(self, folder: str, max_bytes: int, clocks: Clocks) -> None:
         self.files, self.max_bytes, self._clocks = SegmentFiles(folder), max_bytes, clocks
         self.max_segment_bytes = max(MIN_SEGMENT_BYTES, max_bytes // SEGMENT_COUNT)
         self.pending_messages = PendingMessages()
-        self.is_loaded = False  # the records of earlier processes are read
-        self.is_available = True  # the last write succeeded
-        self.on_availability_changed: Callable[[bool], object] = _ignore
+        self.is_loaded = False
+        self.is_available = True  # whether the last write succeeded
+        self.on_availability_changed: Callable[[bool], object] = _do_nothing
         self._unavailable_since_us = 0
-        self._failed_operations: set[str] = set()  # logged, and not succeeded since
+        self._failed_operations: set[str] = set()  # already logged, not yet succeeded again
         self._uncommitted: list[LogRecord] = []
-        self._segment_of_message: dict[str, int] = {}  # where a message's record of acceptance is
+        self._segment_of_message: dict[str, int] = {}  # segment of its acceptance record
         self._messages_in_segment: dict[int, dict[str, None]] = {}
-        self._reserved_bytes = 0  # for messages admitted since the last commit
-        self._pending_bytes = 0  # upper bound of what all pending messages take
-        self._last_sequence_number = 0  # messages accepted so far, by all processes whose records are here
-        self._newest_time_us: int | None = None  # on record
-        self._anchor: ClockAnchor | None = None  # of the newest segment with records
-        self.incarnation = 0  # a number that no other process that used the folder has had, once it is loaded
+        self._reserved_bytes = 0  # reserved by try_reserve() since the last commit
+        self._pending_bytes = 0  # upper bound of the records of all pending messages
+        self._last_sequence_number = 0  # number of the last accepted message, continued across restarts
+        self._newest_time_us: int | None = None  # latest log time in any record
+        self._anchor: ClockAnchor | None = None  # last anchor read from the newest segment
+        self.incarnation = 0  # unique among the processes that used the folder; 0 until loaded
         self.timeline = start_timeline(None, None, clocks.read())
         self.load()
 
     def now_us(self) -> int:
-        """Return the present log time, see :mod:`honeybarrow.log_timeline`."""
+        """Return the current log time in microseconds; see :mod:`honeybarrow.log_timeline`."""
         return self.timeline.to_log_time_us(self._clocks.monotonic_us())
 
-    # reading
+    # loading
 
     def load(self) -> bool:
-        """Read the records of earlier processes; whether that is done. Nothing may be recorded before."""
+        """Read the records of earlier processes.
+
+        Return whether the log is loaded. No record may be appended before it is.
+        """
         if self.is_loaded:
             return True
         try:
@@ -92,10 +98,11 @@
     def _apply_segment(self, segment: Segment) -> None:
         for number, record in enumerate(decode_records(segment.data)):
             if isinstance(record, ClockAnchor):
-                self._note_time(record.log_time_us)
+                self._update_newest_time(record.log_time_us)
                 self._anchor = record
             else:
-                self._anchor = self._anchor if number else None  # an earlier build wrote this segment
+                # A segment without an anchor at its start was written by a version without anchors.
+                self._anchor = self._anchor if number else None
                 self._apply_record(record, segment.number)
 
     def _apply_record(self, record: LogRecord, segment: int) -> None:
@@ -113,9 +120,9 @@
         elif isinstance(record, MessageCompleted):
             self._remove_from_segment(message)
         elif isinstance(record, AttemptStarted):
-            self._note_time(record.started_at_us)
+            self._update_newest_time(record.started_at_us)
 
-    def _note_time(self, log_time_us: int) -> None:
+    def _update_newest_time(self, log_time_us: int) -> None:
         newest_us = self._newest_time_us
         self._newest_time_us = log_time_us if newest_us is None else max(newest_us, log_time_us)
 
@@ -128,29 +135,32 @@
 
     @property
     def disk_usage_bytes(self) -> int:
-        """Size of all segments, as the platform counts it."""
+        """Disk usage of all segments in bytes, counted in whole blocks."""
         return self.files.disk_usage_bytes
 
     @property
     def waiting_record_count(self) -> int:
-        """Records that are not on disk yet."""
+        """Number of records that are not committed yet."""
         return len(self._uncommitted)
 
     def try_reserve(self, message: str, body_bytes: int) -> bool:
-        """Reserve space for all records of a message until the next commit; whether there was enough."""
+        """Reserve space for all records of a message until the next commit.
+
+        Return whether there was enough space.
+        """
         size = max_bytes_of_message(message, body_bytes)
         pending = self._pending_bytes + self._reserved_bytes + size
-        # The files shrink behind the pending messages, but not while segments can't be removed.
+        # Disk usage is checked separately because it stays high while segments can't be removed.
         used = self.files.disk_usage_bytes + self._reserved_bytes + size
         if pending > MAX_PENDING_SHARE * self.max_bytes or used > self.max_bytes:
             return False
         self._reserved_bytes += size
         return True
 
-    # appending: see :class:`honeybarrow.ports.MessageLog`
+    # appending
 
     def append(self, record: LogRecord) -> None:
-        """Keep a record for the next commit. One of an unknown message is dropped."""
+        """Queue a record for the next commit; records of unknown messages are dropped."""
         if isinstance(record, MessageAccepted):
             self._uncommitted.append(record)
             self._segment_of_message.setdefault(record.message, _UNWRITTEN_SEGMENT)
@@ -159,7 +169,7 @@
             self._uncommitted.append(record)
 
     def record_accepted(self, submission: Any) -> None:
-        """Append the acceptance of a message, unless it is a resumed one, which the log has already."""
+        """Append the acceptance of a message, unless it was resumed from this log."""
         if submission.message in self._segment_of_message:
             return
         payload = submission.payload
@@ -179,11 +189,12 @@
         )
 
     def record_attempt_started(self, message: str, attempt: int, must_be_kept: bool = True) -> bool:
-        """Commit the start of an attempt at once; whether it is on disk.
+        """Commit the start of an attempt immediately and return whether it is on disk.
 
-        If it is not and ``must_be_kept``, the attempt does not start, and its record is dropped.
+        If the write fails and ``must_be_kept`` is set, the record is dropped and the attempt must not start.
         """
-        reserved_bytes = self._reserved_bytes  # of messages whose acceptance the turn's own commit writes
+        # commit() resets the reservation, which messages of this turn that are still uncommitted need.
+        reserved_bytes = self._reserved_bytes
         record = AttemptStarted(message, attempt, self.now_us())
         self.append(record)
         is_committed = self.commit()
@@ -195,12 +206,12 @@
     def record_attempt_finished(
         self, message: str, attempt: int, status: AttemptStatus, not_run: bool
     ) -> None:
-        """Append the end of an attempt, but of a successful one, whose completion is recorded next."""
+        """Append the end of a failed attempt; a successful one is recorded as a completion."""
         if status is not AttemptStatus.OK:
             self.append(AttemptFinished(message, attempt, not_run))
 
     def record_final_result(self, result: FinalResult) -> None:
-        """Append the final result that a notification is to report."""
+        """Append a final result that has to be notified."""
         self.append(result)
 
     def record_completed(self, message: str) -> None:
@@ -208,10 +219,10 @@
         self.append(MessageCompleted(message))
 
     def commit(self) -> bool:
-        """Write all records appended since the last commit, in one write; whether they are on disk.
+        """Write all queued records in one write and return whether they are on disk.
 
-        If they are not, the messages accepted among them are dropped, since no client was told of them, and
-        the other records wait for the next commit.
+        If the write fails, acceptances are dropped, because their clients have not been answered yet; all
+        other records stay queued for the next commit.
         """
         self._reserved_bytes = 0
         if not self._uncommitted:
@@ -227,7 +238,7 @@
         return True
 
     def retry(self) -> bool:
-        """Try whether the folder can be written again; with what waits, if anything does."""
+        """Try to write the queued records, or an anchor if there are none; return whether it succeeded."""
         return self.commit() if self._uncommitted else self._write_records([])
 
     # segments
@@ -256,7 +267,7 @@
         return ClockAnchor(reading, self.timeline.to_log_time_us(reading.monotonic_us))
 
     def _begin_segment(self) -> None:
-        """Continue in a new segment; if none can be created, the last one grows on."""
+        """Start a new segment; if it can't be created, continue in the current one."""
         try:
             self.files.open_next()
         except OSError as error:
@@ -265,7 +276,7 @@
             self._failed_operations.discard("segment_create_failed")
 
     def _remove_old_segments(self) -> None:
-        """Remove segments without pending messages; compact the oldest while files are near their bound."""
+        """Remove segments without pending messages; above the compaction share, compact the oldest first."""
         while len(self.files.sizes) > 1:
             oldest = next(iter(self.files.sizes))
             messages = self._messages_in_segment.get(oldest)
@@ -274,19 +285,19 @@
                     return
                 pending = [self.pending_messages.by_id[message] for message in messages]
                 if not self._write_records([each.to_record() for each in pending]):
-                    return  # Danger: the segment still holds the only record of pending messages
+                    return  # the segment still holds the only record of its pending messages
             try:
                 self.files.remove(oldest)
             except OSError as error:
-                # Danger: were a later one removed before it, a message that was completed there would be
-                # pending again at the next start.
+                # Later segments stay too: removing the record of a completion before the record of its
+                # acceptance would make the message pending again after a restart.
                 self._log_failure("segment_remove_failed", error)
                 return
             self._failed_operations.discard("segment_remove_failed")
             self._messages_in_segment.pop(oldest, None)
 
     def close(self) -> None:
-        """Commit what is left and close the file."""
+        """Commit the queued records and close the newest segment."""
         if not self.commit():
             log.error("log_closed_incomplete waiting_records=%d", len(self._uncommitted))
         self.files.close()
@@ -309,7 +320,7 @@
         self.on_availability_changed(True)
 
     def _log_failure(self, operation: str, error: OSError) -> None:
-        """Log a failed operation once, however often it is tried again."""
+        """Log a failed operation once until it succeeds."""
         if operation not in self._failed_operations:
             self._failed_operations.add(operation)
             log.error("%s error=%s retrying=True", operation, error)
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -92,12 +92,12 @@
     """If it stayed, its request would come to a process that hardly has time for it."""
     old = rig.connect_client()
     rig.run_turns(2)
-    rig.advance(descriptor_budget.UNUSED_AFTER_S + 0.1)
+    rig.advance(descriptor_budget.UNUSED_CONNECTION_TIMEOUT_S + 0.1)
     young = rig.connect_client()
     rig.run_turns(2)
     rig.process.shutdown.start()
     assert old.read() == b"" and old.ending == "end" and not young.read() and not young.ending
-    rig.advance(descriptor_budget.UNUSED_AFTER_S + 0.3)
+    rig.advance(descriptor_budget.UNUSED_CONNECTION_TIMEOUT_S + 0.3)
     assert wait_for_end(rig, young) == "end" and young.received == b""
 
 
--- a/tests/test_platform_front.py
+++ b/tests/test_platform_front.py
@@ -9,7 +9,7 @@
 from honeybarrow.node import descriptor_budget
 from honeybarrow.node.descriptor_budget import (
     FIRST_REQUEST_TIMEOUT_S,
-    UNUSED_AFTER_S,
+    UNUSED_CONNECTION_TIMEOUT_S,
     ConnectionAction,
     ConnectionState,
     DescriptorBudget,
@@ -40,7 +40,7 @@
     quiet = connect_answered_client(bench)
     bench.clock.pump([0.1] * int(10 * (IDLE_S + 1)))
     mute, _ = bench.connect_client()
-    bench.clock.pump([0.1] * int(10 * (UNUSED_AFTER_S + 0.2)))
+    bench.clock.pump([0.1] * int(10 * (UNUSED_CONNECTION_TIMEOUT_S + 0.2)))
     young = connect_answered_client(bench)
     assert list(bench.front.connections.values()) == [quiet, mute, young]
     bench.connect_client()
