--- a/honeybarrow/node/shutdown.py
+++ b/honeybarrow/node/shutdown.py
@@ -21,7 +21,7 @@
 
 
 class GracefulShutdown:
-    """Drains open messages until they are complete or time runs out.
+    """A shutdown that drains open messages until they are complete or time runs out.
 
     Messages that are still pending stay in the write-ahead log for the next process.
     """
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -1,6 +1,6 @@
-"""Client connections that end, and what is still due to the client: each crossing forced on loopback sockets.
+"""Requests and responses that cross with the closing of a client connection, on loopback sockets.
 
-The table of endings in ``docs/node.md`` names these tests row by row.
+The table of endings in ``docs/node.md`` refers to these tests.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 
 @pytest.fixture
 def rig(tmp_path: Path) -> Iterator[Rig]:
-    own = Rig(tmp_path)
-    yield own
-    own.close()
+    instance = Rig(tmp_path)
+    yield instance
+    instance.close()
 
 
 def test_a_request_that_arrived_before_an_idle_connection_closes_is_answered(rig: Rig) -> None:
@@ -35,24 +35,24 @@
     assert rig.process.forwarder.is_known("m1")
 
 
-def test_a_request_after_the_half_close_is_not_accepted_and_its_client_can_tell(rig: Rig) -> None:
+def test_a_request_after_the_half_close_is_not_accepted_and_its_connection_fails(rig: Rig) -> None:
     connection = rig.connect_idle_client()
-    (own,) = rig.process.front.connections.values()
-    rig.process.shutdown.start()  # the half-close is done in this moment, not one turn later
+    (served,) = rig.process.front.connections.values()
+    rig.process.shutdown.start()  # half-closes in the same turn
     assert connection.read() == b"" and connection.ending == "end"
     connection.write(rig.request("m1"))
     rig.advance(descriptor_budget.LINGER_TIMEOUT_S + 0.3)
     assert (
         not rig.process.forwarder.is_known("m1") and rig.process.write_ahead_log.pending_messages.by_id == {}
     )
-    assert own.lingered_bytes == 0 and not own.reader.has_partial_request  # it was not even read
-    with pytest.raises(ConnectionError):  # behind the end that its client has seen
+    assert served.lingered_bytes == 0 and not served.reader.has_partial_request  # it was not read
+    with pytest.raises(ConnectionError):
         connection.write(b"x")
         connection.write(b"x")
     assert not rig.process.front.connections
 
 
-def test_half_a_request_at_shutdown_may_be_completed(rig: Rig) -> None:
+def test_a_partial_request_at_shutdown_may_be_completed(rig: Rig) -> None:
     connection, other = rig.connect_idle_client(), rig.connect_idle_client()
     whole = rig.request("m1")
     connection.write(whole[:40])
@@ -89,7 +89,7 @@
 
 
 def test_a_connection_unused_for_a_while_is_closed_at_once_at_shutdown(rig: Rig) -> None:
-    """If it stayed, its request would come to a process that hardly has time for it."""
+    """A later request on it would reach a process that has little time left."""
     old = rig.connect_client()
     rig.run_turns(2)
     rig.advance(descriptor_budget.UNUSED_CONNECTION_TIMEOUT_S + 0.1)
@@ -101,16 +101,16 @@
     assert wait_for_end(rig, young) == "end" and young.received == b""
 
 
-def test_a_new_connection_whose_request_comes_with_its_timeout_is_answered(rig: Rig) -> None:
+def test_a_first_request_that_arrives_together_with_its_timeout_is_answered(rig: Rig) -> None:
     connection = rig.connect_client()
     rig.run_turns(2)
     rig.now_s += descriptor_budget.FIRST_REQUEST_TIMEOUT_S + 0.1
-    connection.write(rig.request("m1"))  # in the turn whose timers come first
+    connection.write(rig.request("m1"))  # read after the timers of the same turn
     rig.run_turns(3)
     assert connection.read().startswith(b"HTTP/1.1 202") and not connection.ending
 
 
-def test_the_answer_to_a_bad_request_survives_bytes_that_still_come(rig: Rig) -> None:
+def test_the_response_to_a_bad_request_survives_further_input(rig: Rig) -> None:
     connection = rig.connect_client()
     connection.write(b"POST /note HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n" + bytes(70_000))
     for _ in range(4):
@@ -130,13 +130,13 @@
     assert connection.received.startswith(b"HTTP/1.1 202") and connection.received.count(b"HTTP/1.1 4") == 1
 
 
-def test_an_evicted_connection_is_closed_without_a_reset_and_none_with_an_unread_request(
+def test_eviction_closes_without_a_reset_and_spares_connections_with_unread_requests(
     tmp_path: Path,
 ) -> None:
     rig = Rig(tmp_path, sockets=64)
     rig.process.front.max_connections = 2
     first, second = rig.connect_idle_client(), rig.connect_idle_client()
-    first.write(rig.request("m1"))  # the least recently answered, and not read yet
+    first.write(rig.request("m1"))  # first in the eviction order, but its request is unread
     third = rig.connect_client()
     listener: Any = rig.process.listener
     listener.doRead()
@@ -151,7 +151,7 @@
     rig = Rig(tmp_path, sockets=64)
     rig.process.front.max_connections = 1
     process: Any = rig.process
-    process.forwarder._run_turn = lambda: None  # nothing is answered any more
+    process.forwarder._run_turn = lambda: None  # no message is answered any more
     rig.connect_client().write(rig.request("m1"))
     rig.run_turns(3)
     holder = next(iter(rig.process.front.connections.values()))
@@ -167,45 +167,44 @@
     rig.read_call()
     rig.submit("p1", "pay", left_ms=30)
     rig.advance_until(lambda: rig.receive_notifications())
-    own = [getattr(each, "socket", None) for each in rig.reactor.getReaders()]
-    peers = [each for each in own if each is not None and _connected(each)]
+    sockets = [getattr(each, "socket", None) for each in rig.reactor.getReaders()]
+    peers = [each for each in sockets if each is not None and _is_connected_tcp(each)]
     assert len(peers) >= 4  # clients, the endpoint, the watch, notifications
     assert all(each.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) for each in peers)
 
 
-def _connected(own: socket.socket) -> bool:
+def _is_connected_tcp(candidate: socket.socket) -> bool:
     try:
-        return bool(own.getpeername()) and own.family == socket.AF_INET
+        return bool(candidate.getpeername()) and candidate.family == socket.AF_INET
     except OSError:
         return False
 
 
 def test_endless_request_heads_are_rejected_and_use_little_memory(rig: Rig) -> None:
-    crowd = [rig.connect_client() for _ in range(60)]
+    clients = [rig.connect_client() for _ in range(60)]
     rig.run_turns(4)
-    for connection in crowd:
+    for connection in clients:
         connection.write(b"POST /note HTTP/1.1\r\nX: " + b"y" * 65_536)
     good = rig.submit("m1")
-    held = [len(each.reader._buffer) for each in rig.process.front.connections.values()]
-    assert good.received.startswith(b"HTTP/1.1 202") and max(held) == 0
-    for connection in crowd:
+    buffered_bytes = [len(each.reader._buffer) for each in rig.process.front.connections.values()]
+    assert good.received.startswith(b"HTTP/1.1 202") and max(buffered_bytes) == 0
+    for connection in clients:
         assert wait_for_end(rig, connection) == "end" and connection.received.startswith(b"HTTP/1.1 431")
 
 
 def test_clients_that_send_many_requests_and_leave_use_no_resources_afterwards(rig: Rig) -> None:
-    many = b"".join(rig.request(f"x{number}", "nothing-of-ours") for number in range(300))
+    requests = b"".join(rig.request(f"x{number}", "nothing-of-ours") for number in range(300))
     for number in range(20):
         connection = rig.connect_client()
-        connection.write(many[: 40_000 + number])
+        connection.write(requests[: 40_000 + number])
         rig.run_turns(1)
         connection.reset() if number % 2 else connection.close()
     good = rig.submit("m1", left_ms=9000)
     assert good.received.startswith(b"HTTP/1.1 202")
     rig.advance(descriptor_budget.FIRST_REQUEST_TIMEOUT_S + descriptor_budget.LINGER_TIMEOUT_S + 0.5)
     assert len(rig.process.front.connections) <= 1 and rig.process.forwarder.open_count == 1
-    assert (
-        rig.process.submissions.rejection_counts["400 unknown class"] < 300
-    )  # the requests of a client that has left are not all handled
+    # The requests of a disconnected client are not all processed.
+    assert rig.process.submissions.rejection_counts["400 unknown class"] < 300
 
 
 def test_bad_input_is_logged_with_its_remedy_and_at_a_limited_rate(rig: Rig, caplog: Any) -> None:
@@ -230,34 +229,32 @@
     assert rig.submit("m2").received.startswith(b"HTTP/1.1 202")
 
 
-def test_a_client_that_writes_a_byte_at_a_time_is_timed_out_and_delays_nobody(rig: Rig) -> None:
-    slow, whole = rig.connect_client(), rig.request("m1")
-    for at in range(len(whole)):
+def test_a_client_that_sends_byte_by_byte_is_timed_out_without_delaying_others(rig: Rig) -> None:
+    slow, data = rig.connect_client(), rig.request("m1")
+    for offset in range(len(data)):
         if slow.read():
             break
-        slow.write(whole[at : at + 1])
+        slow.write(data[offset : offset + 1])
         rig.advance(0.1)
-        if at % 10 == 5:
-            assert rig.submit(f"n{at}").received.startswith(b"HTTP/1.1 202")
+        if offset % 10 == 5:
+            assert rig.submit(f"n{offset}").received.startswith(b"HTTP/1.1 202")
     assert slow.received.startswith(b"HTTP/1.1 408") and not rig.process.forwarder.is_known("m1")
 
 
-@pytest.mark.parametrize("how", ["end", "reset"])
-def test_a_client_that_leaves_in_the_moment_of_its_answer_loses_no_accepted_message(
-    rig: Rig, how: str
-) -> None:
-    """After its record the message is pending; before it, the client submits again under another id."""
+@pytest.mark.parametrize("close_kind", ["end", "reset"])
+def test_a_disconnect_during_the_response_loses_no_accepted_message(rig: Rig, close_kind: str) -> None:
+    """Once recorded, the message stays pending; otherwise the client submits it again under another id."""
     connections = [rig.connect_client() for _ in range(8)]
     for number, connection in enumerate(connections):
         connection.write(rig.request(f"m{number}", left_ms=9000))
-    keep = rig.process.forwarder._commit_turn
+    commit_turn = rig.process.forwarder._commit_turn
 
-    def leave_before_the_answers(actions: Any) -> None:
+    def disconnect_before_commit(actions: Any) -> None:
         for connection in connections:
-            connection.reset() if how == "reset" else connection.close()
-        keep(actions)
+            connection.reset() if close_kind == "reset" else connection.close()
+        commit_turn(actions)
 
-    rig.process.forwarder._commit_turn = leave_before_the_answers  # type: ignore[method-assign]
+    rig.process.forwarder._commit_turn = disconnect_before_commit  # type: ignore[method-assign]
     rig.advance_until(lambda: all(connection.ending for connection in connections))
     del rig.process.forwarder._commit_turn
     other = rig.submit("n0")
--- a/tests/test_golden_platform.py
+++ b/tests/test_golden_platform.py
@@ -1,9 +1,7 @@
-"""What an earlier build wrote is read to the same meaning, and written again to the same bytes.
+"""Compatibility of stored records and wire formats with golden files of earlier versions.
 
-The files under ``tests/golden/write_ahead_log`` and ``tests/golden/platform`` were written by the build
-223bf7c, before its names changed; ``without_number`` by 63a272f and ``without_order_key`` by 43b5539. They
-are never written anew: a difference is a fault of the program that reads or writes them now. Values are
-spelled out by position, so that no name of a class or field takes part.
+The files were written by version 223bf7c, ``without_number`` by 63a272f and ``without_order_key`` by 43b5539.
+They are never regenerated. Values are compared by position, independently of class and field names.
 """
 
 from __future__ import annotations
@@ -44,9 +42,9 @@
 
 GOLDEN = Path(__file__).parent / "golden"
 LOGS = GOLDEN / "write_ahead_log"
-NOW_US = 1_700_000_000_000_000  # of the first record
+NOW_US = 1_700_000_000_000_000  # time of the first record
 FAR_US = 4_102_444_800_000_000  # the year 2100
-BOUND = 12_000  # bytes of all files, so that a few messages fill a segment
+MAX_LOG_BYTES = 12_000  # small, so that a few messages fill a segment
 RECORD_NAMES: dict[type, str] = {
     MessageAccepted: "accepted",
     AttemptStarted: "attempt started",
@@ -58,19 +56,19 @@
 
 
 def to_plain(value: Any) -> Any:
-    """Return a value as JSON represents it; long bodies by their length and checksum."""
+    """Return a value as JSON represents it, with long bodies replaced by length and checksum."""
     if isinstance(value, bytes):
         return value.decode("latin-1") if len(value) < 300 else f"{len(value)} bytes, {zlib.crc32(value):08x}"
     return [to_plain(each) for each in value] if isinstance(value, tuple | list) else value
 
 
 def to_json(records: list[Any]) -> list[Any]:
-    """Return records or steps as JSON: the type of each, then its values in their order."""
+    """Return records or recovery steps as JSON lists of the type name and the values in order."""
     return [[RECORD_NAMES[type(record)], *to_plain(astuple(record))] for record in records]
 
 
 class RecordedSubmission:
-    """A submission as the log sees one."""
+    """The attributes of a submission that the log reads."""
 
     tenant = "täht"
 
@@ -80,42 +78,46 @@
 
 
 class LogWriter:
-    """Writes a fixed sequence of records, a commit after each; the wall clock advances by 1 ms each."""
+    """Writer of a fixed sequence of records; each is committed separately, 1 ms after the one before."""
 
     def __init__(self, folder: Path) -> None:
         self.now_us = NOW_US
-        self.log = WriteAheadLog(str(folder), BOUND, make_clocks(lambda: self.now_us))
+        self.log = WriteAheadLog(str(folder), MAX_LOG_BYTES, make_clocks(lambda: self.now_us))
 
-    def act_and_commit(self, act: Any, *given: Any) -> None:
+    def append_and_commit(self, append: Any, *args: Any) -> None:
         self.now_us += 1000
-        act(*given)
+        append(*args)
         assert self.log.commit()
 
     def accept(
         self, message: str, name: str, end_us: int = FAR_US, body: bytes = b"hi", order: str = ""
     ) -> None:
-        self.act_and_commit(self.log.record_accepted, RecordedSubmission(message, name, end_us, body, order))
+        self.append_and_commit(
+            self.log.record_accepted, RecordedSubmission(message, name, end_us, body, order)
+        )
 
     def start_attempt(self, message: str, attempt: int = 0) -> None:
-        self.act_and_commit(self.log.record_attempt_started, message, attempt)
+        self.append_and_commit(self.log.record_attempt_started, message, attempt)
 
     def finish_attempt(self, message: str, attempt: int, status: AttemptStatus, not_run: bool) -> None:
-        self.act_and_commit(self.log.record_attempt_finished, message, attempt, status, not_run)
+        self.append_and_commit(self.log.record_attempt_finished, message, attempt, status, not_run)
 
-    def record_result(self, message: str, handed_back: bool, retry_ms: int = 0) -> None:
-        self.act_and_commit(self.log.record_final_result, FinalResult(message, handed_back, retry_ms))
+    def record_result(self, message: str, is_returned: bool, retry_after_ms: int = 0) -> None:
+        self.append_and_commit(
+            self.log.record_final_result, FinalResult(message, is_returned, retry_after_ms)
+        )
 
     def complete(self, message: str) -> None:
-        self.act_and_commit(self.log.record_completed, message)
+        self.append_and_commit(self.log.record_completed, message)
 
     def fill_segments(self, count: int, name: str) -> None:
-        """Accept and complete messages at once, so that segments fill up and are removed."""
+        """Accept and complete messages, so that segments fill up and are removed."""
         for number in range(count):
             self.accept(f"{name}{number}", "note", body=bytes(700))
             self.complete(f"{name}{number}")
 
     def write_all(self) -> None:
-        """Write each type of record, for messages that compaction moves and for some that it does not."""
+        """Write each type of record, for messages that are compacted and for others that are not."""
         self.accept("over", "note")
         self.start_attempt("over")
         self.finish_attempt("over", 0, AttemptStatus.OK, False)
@@ -158,7 +160,7 @@
 
 
 def copy_folder(name: str, folder: Path) -> Path:
-    """Copy a golden log, which a test may then write to."""
+    """Copy a golden log, so that a test can write to it."""
     shutil.copytree(LOGS / name, folder, dirs_exist_ok=True)
     return folder
 
@@ -180,7 +182,7 @@
 
 
 def split_anchor(data: bytes) -> tuple[ClockAnchor, bytes]:
-    """Return the anchor at the head of a segment, which that build did not write, and all behind it."""
+    """Return the anchor at the start of a segment, which the golden files lack, and the remaining bytes."""
     anchor = next(decode_records(data))
     assert isinstance(anchor, ClockAnchor)
     head = encode_record(anchor)
@@ -189,7 +191,7 @@
 
 
 def test_the_same_records_are_written_to_the_same_files(tmp_path: Path) -> None:
-    """Besides the anchor of its clock, which each segment begins with, all bytes are those of that build."""
+    """All bytes match the golden files except the clock anchor at the start of each segment."""
     LogWriter(tmp_path).write_all()
     written = {name: split_anchor(data) for name, data in read_files(tmp_path).items()}
     assert {name: rest for name, (_, rest) in written.items()} == read_files(LOGS / "each_kind")
@@ -198,8 +200,8 @@
         assert NOW_US < anchor.log_time_us < NOW_US + 100_000
 
 
-def test_that_build_skips_an_anchor_as_the_end_of_an_unknown_message() -> None:
-    """So that a release can be rolled back: its reader knows an ``O`` and an id, and no such id is held."""
+def test_versions_without_anchors_read_one_as_the_completion_of_an_unknown_message() -> None:
+    """Guards the rollback of a release: the anchor is encoded as a completion with an invalid id."""
     payload = encode_record(ClockAnchor(ClockReading("boot", 1, 2), 3))[8:]
     assert payload == b'Oclock ["boot",1,2,3]'
     fields = {b"x-correlation-id": b"clock [1]", b"x-service-class": b"note"}
@@ -215,46 +217,47 @@
 
 @pytest.mark.parametrize("folder", FOLDERS)
 def test_each_record_is_encoded_again_to_the_same_bytes(folder: str) -> None:
-    again = read_golden(f"write_ahead_log/{folder}.json")["written_again"]  # of an earlier form: in today's
+    # Files in an earlier layout are encoded in the current one.
+    converted = read_golden(f"write_ahead_log/{folder}.json")["written_again"]
     for name, data in read_files(LOGS / folder).items():
         written = b"".join(map(encode_record, decode_records(data)))
-        if name in again:
-            assert to_plain(written) == again[name]
+        if name in converted:
+            assert to_plain(written) == converted[name]
         else:
             assert written == data
 
 
 @pytest.mark.parametrize("folder", FOLDERS)
 def test_recovery_plans_the_same_steps(tmp_path: Path, folder: str) -> None:
-    log = WriteAheadLog(str(copy_folder(folder, tmp_path)), BOUND, make_clocks(lambda: NOW_US))
+    log = WriteAheadLog(str(copy_folder(folder, tmp_path)), MAX_LOG_BYTES, make_clocks(lambda: NOW_US))
     steps = plan_recovery(log.pending_messages.by_id.values(), CLASSES, NOW_US + 2_000_000)
     assert to_json(steps) == read_golden(f"write_ahead_log/{folder}.json")["steps"]
 
 
-def test_a_log_with_a_torn_tail_is_continued_in_a_new_file(tmp_path: Path) -> None:
+def test_a_log_with_a_torn_tail_continues_in_a_new_file(tmp_path: Path) -> None:
     before = read_files(LOGS / "cut_in_last_record")
     writer = LogWriter(copy_folder("cut_in_last_record", tmp_path))
     writer.accept("next", "note")
     writer.log.close()
-    now = read_files(tmp_path)
-    assert {name: now[name] for name in before} == before
-    (new,) = now.keys() - before.keys()
-    (record,) = to_json(list(decode_records(split_anchor(now[new])[1])))
+    after = read_files(tmp_path)
+    assert {name: after[name] for name in before} == before
+    (added,) = after.keys() - before.keys()
+    (record,) = to_json(list(decode_records(split_anchor(after[added])[1])))
     number = read_golden("write_ahead_log/cut_in_last_record.json")["next_number"]
     assert record == [
         "accepted", "next", "note", 7, FAR_US, "täht", "k-next", "hi", 0, None, [], None, "", number,
     ]  # fmt: skip
 
 
-def test_a_process_recovers_the_folder_of_that_build(tmp_path: Path) -> None:
-    """The whole program on it: what may be attempted is delivered, all else is notified, each once."""
-    alike = {"aimUs": 3_000_000, "hardLimitUs": 8_000_000, "lateShare": 0.4}
+def test_a_process_recovers_the_folder_of_an_earlier_version(tmp_path: Path) -> None:
+    """Each message is either delivered or notified, exactly once."""
+    common = {"aimUs": 3_000_000, "hardLimitUs": 8_000_000, "lateShare": 0.4}
     settings = {
         "services": [
-            {**alike, "name": "note", "idempotency": "free"},
-            {**alike, "name": "post", "idempotency": "guarded", "windowUs": 5_000_000},
-            {**alike, "name": "pay", "idempotency": "single_shot"},
-            {**alike, "name": "step", "idempotency": "free", "keepOrder": True},
+            {**common, "name": "note", "idempotency": "free"},
+            {**common, "name": "post", "idempotency": "guarded", "windowUs": 5_000_000},
+            {**common, "name": "pay", "idempotency": "single_shot"},
+            {**common, "name": "step", "idempotency": "free", "keepOrder": True},
         ],
         "kinds": ["shop"],
         "familyInfo": {"callSlots": 8},
@@ -263,7 +266,7 @@
     }
     expected = read_golden("platform/process.json")
 
-    async def go() -> None:
+    async def recover() -> None:
         platform = Platform(tmp_path, settings)
         copy_folder("each_kind", platform.state)
         try:
@@ -276,7 +279,7 @@
                     and len(platform.notifications) >= len(expected["notices"])
                 )
             )
-            await asyncio.sleep(0.5)  # nothing more comes
+            await asyncio.sleep(0.5)  # nothing else may arrive
             assert sorted(platform.delivered) == expected["delivered"]
             assert sorted(message for message, _ in platform.calls) == expected["delivered"]
             assert sorted(platform.notifications, key=str) == expected["notices"]
@@ -287,26 +290,26 @@
         finally:
             await platform.close()
 
-    asyncio.run(go())
+    asyncio.run(recover())
 
 
-# --- what the platform reads and writes
+# --- wire formats
 
 
-def list_to_json(listing: EndpointList) -> list[Any]:
-    """Return an item of the list by its values."""
-    version, whole, endpoints, addresses = astuple(listing)
+def list_to_json(endpoint_list: EndpointList) -> list[Any]:
+    """Return the values of an endpoint list as JSON."""
+    version, is_full, endpoints, addresses = astuple(endpoint_list)
     rows = [[name, group, state.name, *rest] for name, group, state, *rest in endpoints]
-    return [version, whole, rows, {name: list(address) for name, address in addresses.items()}]
+    return [version, is_full, rows, {name: list(address) for name, address in addresses.items()}]
 
 
 def test_a_configuration_is_parsed_to_the_same_values() -> None:
     environ = {"ROUTER_STATE": "/state"}
     config = parse_config((GOLDEN / "platform/config.json").read_text(encoding="utf-8"), environ)
     name, listen, discovery, state, seed, limits, _, _ = astuple(config)
-    own = [name, *to_plain(listen), *to_plain(discovery), state, seed, *to_plain(limits)]
+    values = [name, *to_plain(listen), *to_plain(discovery), state, seed, *to_plain(limits)]
     expected = read_golden("platform/config_read.json")
-    assert own == expected["own"]
+    assert values == expected["own"]
     assert list_to_json(config.saved_list) == expected["known"]
 
 
@@ -317,9 +320,9 @@
 
 def encode_message(name: str | None = "m1", /, **changes: str | None) -> bytes:
     """Encode a client's request."""
-    own = create_request(**{"x_correlation_id": name, "idempotency_key": "key", **changes})
-    fields = b"".join(key + b": " + value + b"\r\n" for key, value in own.fields.items())
-    return f"POST {own.path} HTTP/1.1\r\n".encode() + fields + b"Content-Length: 1\r\n\r\nx"
+    request = create_request(**{"x_correlation_id": name, "idempotency_key": "key", **changes})
+    fields = b"".join(key + b": " + value + b"\r\n" for key, value in request.fields.items())
+    return f"POST {request.path} HTTP/1.1\r\n".encode() + fields + b"Content-Length: 1\r\n\r\nx"
 
 
 REJECTED_FIELDS: dict[str, dict[str, str | None]] = {
@@ -362,7 +365,7 @@
     bench.submissions.is_draining = True
 
 
-def close(bench: SubmissionBench) -> None:
+def close_submissions(bench: SubmissionBench) -> None:
     bench.submissions.is_closed = True
 
 
@@ -371,14 +374,14 @@
 
 
 def leave_unchanged(bench: SubmissionBench) -> None:
-    """As it is."""
+    """Do nothing."""
 
 
 REQUESTS: list[tuple[str, bytes, Any, float, dict[str, Any]]] = [
-    *((what, data, leave_unchanged, 0.0, {}) for what, data in RAW_REQUESTS.items()),
+    *((name, data, leave_unchanged, 0.0, {}) for name, data in RAW_REQUESTS.items()),
     *(
-        (what, encode_message(**changes), leave_unchanged, 0.0, {})
-        for what, changes in REJECTED_FIELDS.items()
+        (name, encode_message(**changes), leave_unchanged, 0.0, {})
+        for name, changes in REJECTED_FIELDS.items()
     ),
     ("taken", encode_message(), leave_unchanged, 0.0, {}),
     ("taken, and the end of the connection", encode_message(connection="close"), leave_unchanged, 0.0, {}),
@@ -391,36 +394,36 @@
     ("up, stopping", RAW_REQUESTS["up"], drain, 0.0, {}),
     ("taken, stopping", encode_message(), drain, 0.0, {}),
     ("not ready", encode_message(), make_unready, 0.0, {}),
-    ("leaving", encode_message(), close, 0.0, {}),
+    ("leaving", encode_message(), close_submissions, 0.0, {}),
     ("no room on disk", encode_message(), fill_log, 0.0, {}),
 ]
 
 
-def front_answers(folder: Path) -> dict[str, str]:
-    """Return each answer of the front, by the name of its request."""
-    found: dict[str, bytes] = {}
-    for what, data, prepare, seconds, changes in REQUESTS:
-        bench = SubmissionBench(folder / f"{len(found)}", **changes)
+def read_front_responses(folder: Path) -> dict[str, str]:
+    """Return the response of the front to each request by the name of the request."""
+    responses: dict[str, bytes] = {}
+    for name, data, prepare, seconds, changes in REQUESTS:
+        bench = SubmissionBench(folder / f"{len(responses)}", **changes)
         connection, transport = bench.connect_client()
         prepare(bench)
         connection.dataReceived(data)
         bench.clock.pump([0.0] + [0.1] * int(seconds * 10))
-        found[what] = transport.value()
+        responses[name] = transport.value()
     bench = SubmissionBench(folder / "places", max_connections=1)
     bench.connect_client()[0].dataReceived(encode_message())
-    found["no place"] = bench.connect_client()[1].value()
-    return {what: data.decode("latin-1") for what, data in found.items()}
+    responses["no place"] = bench.connect_client()[1].value()
+    return {name: data.decode("latin-1") for name, data in responses.items()}
 
 
-def test_the_front_answers_with_the_same_bytes(tmp_path: Path) -> None:
-    assert front_answers(tmp_path) == read_golden("platform/front_answers.json")
+def test_the_front_sends_the_same_responses(tmp_path: Path) -> None:
+    assert read_front_responses(tmp_path) == read_golden("platform/front_answers.json")
 
 
 def read_sent_notifications(folder: Path) -> list[str]:
-    """Return two requests to the platform: three notifications in one batch, and one in the next."""
+    """Return two requests to the platform: a batch of three notifications and one of a single one."""
     bench = SubmissionBench(folder)
-    for ending in (FinalResult("m1", False), FinalResult("m2", True), FinalResult("m3", True, 250)):
-        bench.submissions.notify_result(ending)
+    for result in (FinalResult("m1", False), FinalResult("m2", True), FinalResult("m3", True, 250)):
+        bench.submissions.notify_result(result)
     bench.clock.advance(0)
     link, transport = bench.clock.tcpClients[-1][2].buildProtocol(None), MemoryTransport()
     link.makeConnection(transport)
@@ -436,8 +439,8 @@
     assert read_sent_notifications(tmp_path) == read_golden("platform/notices.json")
 
 
-def test_names_of_files(tmp_path: Path) -> None:
-    log = WriteAheadLog(str(tmp_path), BOUND, make_clocks(lambda: NOW_US))
+def test_segment_file_names(tmp_path: Path) -> None:
+    log = WriteAheadLog(str(tmp_path), MAX_LOG_BYTES, make_clocks(lambda: NOW_US))
     log.close()
     assert [path.name for path in tmp_path.iterdir()] == ["journal-00000001"]
 
--- a/tests/test_platform_front.py
+++ b/tests/test_platform_front.py
@@ -1,4 +1,4 @@
-"""Client connections of the platform's front: timeouts, limits and eviction; without sockets."""
+"""Client connections of the front: timeouts, limits and eviction, without sockets."""
 
 from __future__ import annotations
 
@@ -23,41 +23,41 @@
     status_of,
 )
 
-IDLE_S = 2.0  # after an answer, from which on the platform lets a connection be closed
+IDLE_S = 2.0  # idle time after which the platform allows closing a connection
 
 
-def test_new_connections_and_half_requests_time_out(tmp_path: Path) -> None:
+def test_new_connections_and_partial_requests_time_out(tmp_path: Path) -> None:
     bench = SubmissionBench(tmp_path)
     bench.connect_client()
-    half, transport = bench.connect_client()
-    half.dataReceived(b"POST /note HTTP/1.1\r\nX")
+    partial, transport = bench.connect_client()
+    partial.dataReceived(b"POST /note HTTP/1.1\r\nX")
     bench.clock.pump([0.1] * int(10 * (FIRST_REQUEST_TIMEOUT_S + 0.7)))
     assert status_of(transport) == b"408" and not bench.front.connections
 
 
-def test_connections_stay_until_the_limit_and_then_answered_ones_are_evicted_first(tmp_path: Path) -> None:
+def test_at_the_limit_answered_connections_are_evicted_first(tmp_path: Path) -> None:
     bench = SubmissionBench(tmp_path, max_connections=3)
-    quiet = connect_answered_client(bench)
+    idle = connect_answered_client(bench)
     bench.clock.pump([0.1] * int(10 * (IDLE_S + 1)))
-    mute, _ = bench.connect_client()
+    unused, _ = bench.connect_client()
     bench.clock.pump([0.1] * int(10 * (UNUSED_CONNECTION_TIMEOUT_S + 0.2)))
-    young = connect_answered_client(bench)
-    assert list(bench.front.connections.values()) == [quiet, mute, young]
+    recent = connect_answered_client(bench)
+    assert list(bench.front.connections.values()) == [idle, unused, recent]
     bench.connect_client()
-    assert quiet.is_closing and not young.is_closing
+    assert idle.is_closing and not recent.is_closing
     bench.connect_client()
-    assert young.is_closing and not mute.is_closing
+    assert recent.is_closing and not unused.is_closing
     last, _ = bench.connect_client()
-    assert mute.is_closing and not last.is_closing
+    assert unused.is_closing and not last.is_closing
 
 
-def test_a_crowd_of_clients_that_ask_once_and_stay_keeps_no_new_one_out(tmp_path: Path) -> None:
+def test_many_idle_clients_do_not_block_new_connections(tmp_path: Path) -> None:
     bench = SubmissionBench(tmp_path, max_connections=10)
-    for _ in range(60):  # all within a moment
-        asking = connect_answered_client(bench)
+    for _ in range(60):
+        answered = connect_answered_client(bench)
         late, _ = bench.connect_client()
         bench.clock.advance(0.001)
-        assert not asking.is_closing and not late.is_closing
+        assert not answered.is_closing and not late.is_closing
         late.dataReceived(b"GET /up HTTP/1.1\r\n\r\n")
     assert set(bench.front.eviction_counts) == {"answered"}
 
@@ -95,7 +95,7 @@
     assert status_of(transport) == b"202" and busy.is_closing
 
 
-def test_descriptors_are_allocated() -> None:
+def test_descriptor_allocation_by_limit_and_call_slots() -> None:
     assert allocate_descriptors(1024, 158) == DescriptorBudget(
         client_connections=512, idle_endpoint_connections=204, endpoint_connections=362
     )
@@ -108,19 +108,19 @@
     assert allocate_descriptors(30, 100) == DescriptorBudget(
         client_connections=16, idle_endpoint_connections=6, endpoint_connections=6
     )
-    for sockets in (64, 256, 384, 1024):  # whatever the settings ask for
+    for sockets in (64, 256, 384, 1024):
         for slots in (3, 30, 300, 3000):
-            shares = allocate_descriptors(sockets, slots)
+            budget = allocate_descriptors(sockets, slots)
             assert (
                 descriptor_budget.RESERVED_DESCRIPTORS
-                + shares.client_connections
-                + shares.endpoint_connections
+                + budget.client_connections
+                + budget.endpoint_connections
                 <= sockets
             )
 
 
 def test_the_order_of_eviction() -> None:
-    """Within a class the longest there; a change of state within it keeps the place."""
+    """Within a class the oldest entry goes first; a state change within the class keeps its position."""
     queue: EvictionQueue[str, str] = EvictionQueue()
     for name, state, has_answered in [
         ("half", ConnectionState.READING, False),
@@ -157,15 +157,15 @@
         choose_action(ConnectionState.CLOSING, True, descriptor_budget.LINGER_TIMEOUT_S + 0.1)
         is ConnectionAction.CLOSE
     )
-    for stage in ConnectionState:
-        assert choose_action(stage, True, 0.1) is ConnectionAction.NONE
+    for state in ConnectionState:
+        assert choose_action(state, True, 0.1) is ConnectionAction.NONE
     assert (
         choose_action(ConnectionState.KEEP_ALIVE, True, 999.0) is ConnectionAction.NONE
         and choose_action(ConnectionState.PROCESSING, False, 999.0) is ConnectionAction.NONE
     )
 
 
-def test_a_new_connection_is_rejected_where_each_other_has_an_unread_request(
+def test_a_new_connection_is_rejected_if_all_others_have_unread_requests(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     bench = SubmissionBench(tmp_path, max_connections=3)
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -1,4 +1,4 @@
-"""The platform process: its configuration, imports and signals."""
+"""Configuration, imports, signals and timers of the platform process."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 )
 
 
-def test_the_configuration_is_validated_by_part() -> None:
+def test_each_part_of_the_configuration_is_validated() -> None:
     environ = {"ROUTER_STATE": "/state"}
-    good: dict[str, Any] = {
+    valid: dict[str, Any] = {
         "name": "n3",
         "listen": "10.0.0.4:9000",
         "discovery": "10.2.0.1:8500",
@@ -31,25 +31,25 @@
             "limits": {"maxOpen": 9},
         },
     }
-    config = parse_config(json.dumps(good), environ)
+    config = parse_config(json.dumps(valid), environ)
     assert config.listen_address == ("10.0.0.4", 9000) and config.seed == 0x8C1F30D27A5BE964
-    bad: list[dict[str, Any]] = [
+    invalid_changes: list[dict[str, Any]] = [
         {"listen": "host:9000"},
         {"seed": "xyz"},
         {"limits": {"sockets": "many"}},
         {"settings": {}},
         {"known": [1]},
     ]
-    for change in bad:
+    for change in invalid_changes:
         with pytest.raises(ConfigError):
-            parse_config(json.dumps({**good, **change}), environ)
+            parse_config(json.dumps({**valid, **change}), environ)
     with pytest.raises(ConfigError, match="ROUTER_STATE"):
-        parse_config(json.dumps(good), {})
+        parse_config(json.dumps(valid), {})
     with pytest.raises(ConfigError):
         parse_config("{", environ)
-    for place in ("1.2.3.4", "1.2.3.4:0", "1.2.3.4:99999", "1.2.3.400:1", ":80"):
+    for address in ("1.2.3.4", "1.2.3.4:0", "1.2.3.4:99999", "1.2.3.400:1", ":80"):
         with pytest.raises(ValueError):
-            parse_address(place)
+            parse_address(address)
 
 
 def test_the_platform_process_imports_no_heavy_library() -> None:
@@ -61,18 +61,18 @@
         " 'cryptography', 'twisted.web', 'xxhash', 'honeybarrow.fleet', 'honeybarrow.consensus']\n"
         "print([name for name in heavy if name in sys.modules])"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    assert done.stdout.strip() == "[]"
+    completed = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+    assert completed.stdout.strip() == "[]"
 
 
-def test_a_signal_during_startup_is_delivered_later() -> None:
+def test_a_signal_during_startup_is_delivered_after_it() -> None:
     code = (
         "import os, signal\nfrom honeybarrow.node import signals\nsignals.install_handlers()\n"
         "os.kill(os.getpid(), signal.SIGHUP)\nsignals.deliver_to(print)\n"
         "os.kill(os.getpid(), signal.SIGTERM)"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    assert done.stdout.split() == ["reload", "stop"]
+    completed = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+    assert completed.stdout.split() == ["reload", "stop"]
 
 
 def test_timers_follow_the_monotonic_clock_wherever_the_reactor_is_used() -> None:
@@ -81,8 +81,8 @@
         "time.time = lambda: 0.0\n"
         "call = reactor.callLater(5.0, print)\nprint(abs(call.getTime() - time.monotonic() - 5.0) < 0.5)"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    assert done.stdout.strip() == "True"
+    completed = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+    assert completed.stdout.strip() == "True"
     package = Path(honeybarrow.__file__).parent
     importing = [path.name for path in package.rglob("*.py") if "internet import reactor" in path.read_text()]
     assert importing == ["reactor.py"]
--- a/tests/test_shutdown_and_kill.py
+++ b/tests/test_shutdown_and_kill.py
@@ -1,6 +1,6 @@
-"""Processes that end, by SIGTERM or SIGKILL, and what their messages still need: forced on loopback sockets.
+"""Messages of a process that is stopped or killed, on loopback sockets.
 
-The table of endings in ``docs/node.md`` names these tests row by row.
+The table of endings in ``docs/node.md`` refers to these tests.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 from tests.crossing import NO_CONTENT, OK, PeerConnection, ProcessKilledError, Rig
 from tests.helpers import CLASSES
 
-FULL = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
+UNAVAILABLE = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
 
 
 @pytest.fixture
 def rig(tmp_path: Path) -> Iterator[Rig]:
-    own = Rig(tmp_path)
-    yield own
-    own.close()
+    instance = Rig(tmp_path)
+    yield instance
+    instance.close()
 
 
 def test_late_requests_are_rejected_and_the_process_ends_in_time(rig: Rig) -> None:
     rig.submit("m1", left_ms=9000)
-    rig.read_call()  # hangs
+    rig.read_call()  # never answered
     rig.process.shutdown.start()
     rig.advance((MAX_SHUTDOWN_US - 2 * CLOSE_GRACE_US) / 1e6 - 0.2)
     connection = rig.connect_client()
@@ -53,7 +53,7 @@
     rig.advance(0.5)
     connection = rig.connect_client()
     rig.advance(0.3)
-    assert not rig.is_stopped  # it could have ended by now
+    assert not rig.is_stopped
     connection.write(rig.request("m1", left_ms=300))
     rig.advance_until(lambda: connection.read().startswith(b"HTTP/1.1 202"))
     rig.read_call().write(OK)
@@ -61,7 +61,7 @@
     assert rig.process.write_ahead_log.pending_messages.by_id == {}
 
 
-def _raise_killed(*given: Any) -> Any:
+def _raise_killed(*args: Any) -> Any:
     raise ProcessKilledError
 
 
@@ -80,12 +80,12 @@
         process.write_ahead_log._write_records = write_and_kill
     else:
         process.pool.call = _raise_killed
-    # Twisted would catch what its calls raise and log it; so the test runs the turn itself.
-    turn = process.forwarder._run_turn
+    # The test runs the turn itself because Twisted would catch the exception.
+    run_turn = process.forwarder._run_turn
     process.forwarder._run_turn = lambda: None
     rig.advance_until(lambda: process.forwarder._arrived_this_turn)
     with pytest.raises(ProcessKilledError):
-        turn()
+        run_turn()
 
 
 def _kill_before_connected(rig: Rig, connection: PeerConnection) -> None:
@@ -95,16 +95,16 @@
 
 
 def _kill_before_first_byte(rig: Rig) -> None:
-    sending: Any = HttpConnection
-    send = sending.send_request
+    connection_class: Any = HttpConnection
+    send_request = connection_class.send_request
 
-    def stop_and_raise(*given: Any) -> Any:
-        rig.is_stopped = True  # Twisted catches what its calls raise; no further turn is run
+    def stop_and_raise(*args: Any) -> Any:
+        rig.is_stopped = True  # prevents further turns, since Twisted catches the exception
         raise ProcessKilledError
 
-    sending.send_request = stop_and_raise
+    connection_class.send_request = stop_and_raise
     rig.advance_until(lambda: rig.is_stopped, 0.5)
-    sending.send_request = send
+    connection_class.send_request = send_request
     pending = rig.process.write_ahead_log.pending_messages.by_id["m1"]
     assert pending.attempt_count == 1 and rig.count_calls("m1") == 0
 
@@ -113,12 +113,12 @@
     process: Any = rig.process
     rig.advance_until(lambda: connection.read())
     call = rig.read_call()
-    if point == "between answer and its record":
-        process.write_ahead_log.commit = lambda: True  # what it would write is lost with the process
+    if point == "between response and its record":
+        process.write_ahead_log.commit = lambda: True  # writes nothing
         call.write(OK)
         rig.run_turns(3)
-    elif point == "after a refusal":
-        call.write(FULL)
+    elif point == "after a rejection":
+        call.write(UNAVAILABLE)
         rig.advance_until(lambda: process.forwarder.counters.outcomes)
         rig.run_turns(2)
 
@@ -127,7 +127,7 @@
     """Kill the process at a point in the handling of a message that a client has written."""
     if point in ("before the record", "between record and 202", "between 202 and call"):
         _kill_in_turn(rig, point)
-    elif point == "before its connection is up":
+    elif point == "before its connection is established":
         _kill_before_connected(rig, connection)
     elif point == "before its first byte":
         _kill_before_first_byte(rig)
@@ -137,25 +137,25 @@
 
 
 @pytest.mark.parametrize(
-    ("point", "cls", "after"),
+    ("point", "cls", "outcome"),
     [
         ("before the record", "note", "nothing"),
         ("between record and 202", "note", "attempted"),
         ("between record and 202", "pay", "attempted"),
         ("between 202 and call", "note", "attempted"),
         ("between 202 and call", "pay", "attempted"),
-        ("before its connection is up", "pay", "attempted"),
-        ("before its first byte", "pay", "failed"),  # its start is recorded, so it may have run
+        ("before its connection is established", "pay", "attempted"),
+        ("before its first byte", "pay", "failed"),  # the recorded attempt may have run
         ("during the call", "note", "attempted"),
         ("during the call", "post", "attempted"),
         ("during the call", "pay", "failed"),
-        ("between answer and its record", "post", "attempted"),  # within its key window: harmless
-        ("between answer and its record", "pay", "failed"),
-        ("after a refusal", "pay", "attempted"),
+        ("between response and its record", "post", "attempted"),  # safe within the key window
+        ("between response and its record", "pay", "failed"),
+        ("after a rejection", "pay", "attempted"),
     ],
 )
-def test_after_a_kill_at_any_point_the_next_process_completes_the_message_by_its_idempotency(
-    rig: Rig, point: str, cls: str, after: str
+def test_after_a_kill_the_next_process_completes_the_message_according_to_its_idempotency(
+    rig: Rig, point: str, cls: str, outcome: str
 ) -> None:
     connection = rig.connect_client()
     connection.write(rig.request("m1", cls))
@@ -163,55 +163,55 @@
     calls = rig.count_calls("m1")
     rig.now_s += 1.3
     rig.start_process()
-    if after == "attempted":
+    if outcome == "attempted":
         rig.advance_until(lambda: rig.count_calls("m1") == calls + 1, 2)
         rig.read_call().write(OK)
         rig.advance(0.3)
         assert rig.receive_notifications() == [] and rig.process.write_ahead_log.pending_messages.by_id == {}
         return
     rig.advance(0.1)
-    expected = [{"message": "m1", "outcome": "given_up"}] if after == "failed" else []
+    expected = [{"message": "m1", "outcome": "given_up"}] if outcome == "failed" else []
     assert rig.receive_notifications() == expected
     rig.advance(1.0)
     assert rig.receive_notifications() == expected and rig.count_calls("m1") == calls
 
 
-@pytest.mark.parametrize(("away_s", "calls"), [(0.5, 2), (1.2, 1)])
-def test_a_key_window_of_a_second_counts_over_the_restart(tmp_path: Path, away_s: float, calls: int) -> None:
-    short = tuple(replace(kind, key_window_us=1_000_000) for kind in CLASSES)
-    rig = Rig(tmp_path, classes=short)
+@pytest.mark.parametrize(("downtime_s", "calls"), [(0.5, 2), (1.2, 1)])
+def test_a_key_window_continues_across_a_restart(tmp_path: Path, downtime_s: float, calls: int) -> None:
+    short_window_classes = tuple(replace(kind, key_window_us=1_000_000) for kind in CLASSES)
+    rig = Rig(tmp_path, classes=short_window_classes)
     rig.submit("m1", "post", left_ms=8000)
     rig.read_call()
     rig.kill()
-    rig.now_s += away_s
+    rig.now_s += downtime_s
     rig.start_process()
     rig.advance(1.0)
     assert rig.count_calls("m1") == calls
     rig.close()
 
 
-@pytest.mark.parametrize("number", ["SIGTERM", "SIGKILL"])
-def test_an_unacknowledged_notification_is_sent_again_and_no_other_result(rig: Rig, number: str) -> None:
+@pytest.mark.parametrize("signal_name", ["SIGTERM", "SIGKILL"])
+def test_an_unacknowledged_notification_is_resent_with_the_same_result(rig: Rig, signal_name: str) -> None:
     rig.submit("p1", "pay")
     rig.read_call().write(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
-    given_up = {"message": "p1", "outcome": "given_up"}
-    rig.advance_until(lambda: rig.receive_notifications(b"") == [given_up])  # not answered
-    if number == "SIGTERM":
+    notification = {"message": "p1", "outcome": "given_up"}
+    rig.advance_until(lambda: rig.receive_notifications(b"") == [notification])  # received, not answered
+    if signal_name == "SIGTERM":
+        rig.process.handle_signal(SignalRequest.SHUT_DOWN)
         rig.process.handle_signal(SignalRequest.SHUT_DOWN)
-        rig.process.handle_signal(SignalRequest.SHUT_DOWN)  # twice
         rig.advance_until(lambda: rig.is_stopped, 4)
     rig.kill()
     rig.now_s += 0.6
     rig.start_process()
     rig.advance_until(lambda: len(rig.receive_notifications()) >= 2)
-    assert set(map(str, rig.receive_notifications())) == {str(given_up)}
+    assert set(map(str, rig.receive_notifications())) == {str(notification)}
     rig.run_turns(5)
     assert rig.process.write_ahead_log.pending_messages.by_id == {} and rig.count_calls("p1") == 1
 
 
 def test_accepted_messages_without_an_attempt_are_attempted_by_the_next_process(rig: Rig) -> None:
     guard: Any = rig.process.forwarder.guard
-    guard.may_forward = lambda *given: Refusal.SHUTTING_DOWN
+    guard.may_forward = lambda *args: Refusal.SHUTTING_DOWN
     for number in range(20):
         rig.submit(f"m{number}", "pay" if number % 2 else "note", left_ms=9000)
     rig.run_turns(3)
@@ -219,29 +219,29 @@
     rig.now_s += 1.2
     rig.start_process()
 
-    def answered() -> bool:
+    def answer_calls_until_all_delivered() -> bool:
         for connection in rig.target.accept_connections():
             while connection.read().count(b"\r\n\r\nhi") > connection.answered_count:
                 connection.write(OK)
                 connection.answered_count += 1
         return rig.process.forwarder.counters.delivered == 20
 
-    rig.advance_until(answered, 6)
+    rig.advance_until(answer_calls_until_all_delivered, 6)
     assert rig.receive_notifications() == []
 
 
 def test_an_attempt_withheld_during_shutdown_is_not_counted(rig: Rig) -> None:
-    """Else the next process takes it for attempted too often and fails it, though nothing was ever sent."""
-    rig.submit("m1", left_ms=9000)  # no response, so that the process uses its time
+    """Guards against failing a message for too many attempts although none was sent."""
+    rig.submit("m1", left_ms=9000)  # never answered, so the shutdown takes its full time
     rig.read_call()
     rig.process.shutdown.start()
-    rig.advance(2.1)  # from here on no non-idempotent attempt starts
+    rig.advance(2.1)  # no non-idempotent attempt starts after this time
     for number in range(4):
         connection = rig.connect_client()
         connection.write(rig.request(f"p{number}", "pay", left_ms=9000))
         rig.advance_until(lambda connection=connection: connection.read().startswith(b"HTTP/1.1 202"))  # type: ignore[misc]
     rig.advance_until(lambda: rig.is_stopped, 2)
-    pending = rig.process.write_ahead_log.pending_messages.by_id.values()  # as they stand in the files
+    pending = rig.process.write_ahead_log.pending_messages.by_id.values()
     assert [each.attempt_count for each in pending if each.accepted.class_name == "pay"] == [0] * 4
     rig.kill()
     rig.now_s += 0.6
@@ -261,50 +261,50 @@
     (rig.folder / "config.json").write_text(json.dumps(config))
     monkeypatch.setenv("ROUTER_CONFIG", str(rig.folder / "config.json"))
     monkeypatch.setenv("ROUTER_STATE", str(rig.folder))
-    rig.read_watch()  # requested, and not answered
+    rig.read_watch()  # not answered
     rig.submit("p1", "pay")
     call = rig.read_call()
-    for what in (first, "stop" if first == "reload" else "reload", "stop", "reload"):
-        rig.process.handle_signal(SignalRequest(what))
+    for request in (first, "stop" if first == "reload" else "reload", "stop", "reload"):
+        rig.process.handle_signal(SignalRequest(request))
     call.write(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
     assert b"/discovery" in rig.read_watch(rig.moved_platform).received
     rig.advance_until(lambda: rig.receive_notifications() == [{"message": "p1", "outcome": "given_up"}])
-    assert any(
-        b"/reports" in connection.received for connection in rig.moved_platform.connections
-    )  # where the platform is now
+    assert any(b"/reports" in connection.received for connection in rig.moved_platform.connections)
     rig.advance_until(lambda: rig.is_stopped, 1)
     assert rig.process.write_ahead_log.pending_messages.by_id == {}
 
 
-def test_a_notification_without_an_answer_is_sent_on_a_new_connection_before_it_counts_as_missing(
+def test_an_unanswered_notification_is_resent_on_a_new_connection_within_300_ms(
     rig: Rig,
 ) -> None:
     rig.submit("p1", "pay")
     rig.read_call().write(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
     rig.advance_until(lambda: rig.receive_notifications(b""))
-    sent_at_s, many = rig.now_s, len(rig.platform.connections)
-    rig.advance_until(lambda: len(rig.platform.accept_connections()) > many)
+    sent_at_s, connection_count = rig.now_s, len(rig.platform.connections)
+    rig.advance_until(lambda: len(rig.platform.accept_connections()) > connection_count)
     assert rig.now_s - sent_at_s < 0.3
     rig.advance_until(lambda: rig.receive_notifications() and not rig.process.notifications.unacknowledged)
 
 
-def test_where_reactor_rounds_are_long_a_notification_leaves_as_soon_as_it_is_connected(rig: Rig) -> None:
-    """Rounds of 0.16 s, as in a crowd: the timeout came before the notification had been written at all."""
+def test_a_notification_is_sent_on_connect_even_if_reactor_turns_are_long(rig: Rig) -> None:
+    """Guards against a timeout that fires before the notification is written, here with turns of 0.16 s."""
     rig.submit("p1", "pay")
     rig.read_call().write(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
-    decided_s = rig.now_s
+    decided_at_s = rig.now_s
     while not rig.receive_notifications(b""):
         rig.now_s += 0.16
         rig.run_turns()
-        assert rig.now_s - decided_s < 0.5
+        assert rig.now_s - decided_at_s < 0.5
     first = next(line for line in rig.platform.accept_connections() if b"/reports" in line.received)
     rig.now_s += 0.16
     first.write(NO_CONTENT)
-    rig.run_turns()  # its timeout comes before its answer is read
-    assert rig.process.write_ahead_log.pending_messages.by_id == {}, "the answer to the first one counts"
+    rig.run_turns()  # the timeout fires before the response is read
+    assert rig.process.write_ahead_log.pending_messages.by_id == {}, (
+        "the response to the first request counts"
+    )
 
 
-def test_a_late_answer_to_a_notification_counts_though_it_was_sent_again(rig: Rig) -> None:
+def test_a_late_response_to_a_resent_notification_counts(rig: Rig) -> None:
     rig.submit("p1", "pay")
     rig.read_call().write(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
     rig.advance_until(lambda: len(rig.receive_notifications(b"")) == 1)
@@ -316,20 +316,20 @@
     assert len(rig.receive_notifications()) == 2
 
 
-def test_a_notification_whose_connects_fail_at_once_is_tried_again_quickly(
+def test_a_notification_is_retried_quickly_if_connects_fail_immediately(
     rig: Rig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Nine failed connects in a row cost half a second, not the growing delays of a silent platform."""
-    connect, failures = socket.socket.connect_ex, [0]
+    """Failed connects are retried without the growing delays used for an unresponsive platform."""
+    connect, connects = socket.socket.connect_ex, [0]
 
-    def fail_nine_times(own: socket.socket, address: tuple[str, int]) -> int:
-        failures[0] += 1
-        return errno.ENETUNREACH if failures[0] <= 18 else connect(own, address)  # each is tried twice
+    def fail_nine_connects(own: socket.socket, address: tuple[str, int]) -> int:
+        connects[0] += 1
+        return errno.ENETUNREACH if connects[0] <= 18 else connect(own, address)  # two calls per connect
 
     rig.submit("p1", "pay")
     call = rig.read_call()
-    monkeypatch.setattr(socket.socket, "connect_ex", fail_nine_times)
+    monkeypatch.setattr(socket.socket, "connect_ex", fail_nine_connects)
     call.write(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
-    decided_s = rig.now_s
+    decided_at_s = rig.now_s
     rig.advance_until(rig.receive_notifications, 5)
-    assert failures[0] >= 18 and rig.now_s - decided_s < 0.9
+    assert connects[0] >= 18 and rig.now_s - decided_at_s < 0.9
--- a/tests/test_submission.py
+++ b/tests/test_submission.py
@@ -26,7 +26,7 @@
     return WriteAheadLog(str(folder), 1_000_000, make_clocks(bench.clock_us))
 
 
-def test_messages_of_one_order_key_are_sent_one_at_a_time_also_after_a_restart(tmp_path: Path) -> None:
+def test_messages_of_one_order_key_are_sent_one_at_a_time_across_restarts(tmp_path: Path) -> None:
     bench = SubmissionBench(tmp_path)
     client, _ = bench.connect_client()
     for name in ("m1", "m2"):
@@ -35,10 +35,13 @@
     assert len(bench.clock.tcpClients) == 1, "the second waits for the first"
     bench.connect_endpoint()
     bench.write_ahead_log.commit()
-    entries = list(reopen_log(tmp_path, bench).pending_messages.by_id.values())
-    assert [(e.accepted.message, e.accepted.order_key) for e in entries] == [("m1", "a1"), ("m2", "a1")]
+    pending = list(reopen_log(tmp_path, bench).pending_messages.by_id.values())
+    assert [(each.accepted.message, each.accepted.order_key) for each in pending] == [
+        ("m1", "a1"),
+        ("m2", "a1"),
+    ]
     again = SubmissionBench(tmp_path / "next")
-    for entry in entries:
+    for entry in pending:
         again.submissions.resume_message(ResumedMessage(entry.accepted, 2 * SECOND, 0, None))
     again.clock.advance(0.01)
     assert len(again.clock.tcpClients) == 1
@@ -51,49 +54,47 @@
     client, _ = bench.connect_client()
     bench.submit(client, "m1", cls="step", path="/step/a1", left_ms=300)
     bench.clock.advance(0.01)
-    bench.connect_endpoint()  # it never answers, and m1 ends
+    bench.connect_endpoint()  # never responds, so m1 fails
     bench.submit(client, "m2", cls="step", path="/step/a1", left_ms=9000)
 
-    def calls() -> int:
+    def count_connects() -> int:
         return sum(each[0] == "127.0.0.1" for each in bench.clock.tcpClients)
 
     bench.clock.pump([0.05] * 60)
-    assert "m1" in bench.notifications.unacknowledged and calls() == 1
+    assert "m1" in bench.notifications.unacknowledged and count_connects() == 1
     bench.submissions.on_notifications_acknowledged(["m1"])
     bench.clock.pump([0.05] * 60)
-    assert calls() == 2
+    assert count_connects() == 2
 
 
 def test_a_message_is_recorded_before_202_and_an_attempt_right_before_its_first_byte(tmp_path: Path) -> None:
-    bench, order = SubmissionBench(tmp_path), list[str]()
+    bench, events = SubmissionBench(tmp_path), list[str]()
     write = bench.write_ahead_log._write_records
     call = bench.pool.call
     connection, transport = bench.connect_client()
-    answer = transport.write
+    write_response = transport.write
 
-    def noting(what: str, act: Any) -> Any:
-        def noted(*given: Any) -> Any:
-            order.append(what)
-            return act(*given)
+    def recording(event: str, function: Any) -> Any:
+        def record_and_call(*args: Any) -> Any:
+            events.append(event)
+            return function(*args)
 
-        return noted
+        return record_and_call
 
-    whole: Any = bench
-    whole.write_ahead_log._write_records = noting("disk", write)
-    whole.pool.call = noting("call", call)
-    transport.write = noting("202", answer)
+    untyped_bench: Any = bench
+    untyped_bench.write_ahead_log._write_records = recording("disk", write)
+    untyped_bench.pool.call = recording("call", call)
+    transport.write = recording("202", write_response)
     bench.submit(connection, "m1")
     assert status_of(transport) == b""
     bench.clock.advance(0)
-    assert status_of(transport) == b"202" and order == ["disk", "202", "call"]
+    assert status_of(transport) == b"202" and events == ["disk", "202", "call"]
     pending = reopen_log(tmp_path, bench).pending_messages.by_id["m1"]
-    assert (
-        pending.accepted.body == b"hi" and list(pending.in_flight) == []
-    )  # it may not have run: nothing is written
-    target, bytes_out = bench.clock.tcpClients[-1][2].buildProtocol(None), MemoryTransport()
-    bytes_out.write = noting("bytes", bytes_out.write)
-    target.makeConnection(bytes_out)
-    assert order == ["disk", "202", "call", "disk", "bytes"]
+    assert pending.accepted.body == b"hi" and list(pending.in_flight) == []  # nothing was sent yet
+    target, endpoint_transport = bench.clock.tcpClients[-1][2].buildProtocol(None), MemoryTransport()
+    endpoint_transport.write = recording("bytes", endpoint_transport.write)
+    target.makeConnection(endpoint_transport)
+    assert events == ["disk", "202", "call", "disk", "bytes"]
     pending = reopen_log(tmp_path, bench).pending_messages.by_id["m1"]
     assert list(pending.in_flight) == [0]
     target.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -101,7 +102,7 @@
     assert bench.write_ahead_log.pending_messages.by_id == {} and bench.notifications.unacknowledged == {}
 
 
-def test_a_client_that_leaves_before_202_withdraws_and_one_that_leaves_after_does_not(tmp_path: Path) -> None:
+def test_a_disconnect_withdraws_the_message_only_before_202(tmp_path: Path) -> None:
     bench = SubmissionBench(tmp_path)
     early, _ = bench.connect_client()
     bench.submit(early, "m1")
@@ -119,7 +120,7 @@
     assert len(bench.clock.tcpClients) == 1
 
 
-def test_a_failed_message_is_notified_once_and_recorded_until_that_is_acknowledged(tmp_path: Path) -> None:
+def test_a_failed_message_is_notified_once_and_kept_until_acknowledged(tmp_path: Path) -> None:
     bench = SubmissionBench(tmp_path)
     connection, _ = bench.connect_client()
     bench.submit(connection, "m1", cls="pay")
@@ -137,8 +138,8 @@
     assert bench.notifications.unacknowledged == {} and bench.write_ahead_log.pending_messages.by_id == {}
 
 
-def test_a_retry_whose_connection_is_up_after_the_key_window_is_not_written(tmp_path: Path) -> None:
-    """What the fleet test saw as a duplicate: decided inside the window of the key, written outside."""
+def test_a_retry_is_not_sent_if_its_connection_opens_after_the_key_window(tmp_path: Path) -> None:
+    """Guards against duplicates from a retry that is decided within the key window and sent after it."""
     bench = SubmissionBench(tmp_path)
     client, _ = bench.connect_client()
     bench.submit(client, "m1", cls="post", left_ms=20_000)
@@ -149,7 +150,7 @@
         while bench.clock.seconds() < started_s + seconds and len(bench.clock.tcpClients) < connects:
             bench.clock.advance(0.01)
 
-    bench.connect_endpoint()  # takes it and says nothing: from here the window of 5 s counts
+    bench.connect_endpoint()  # never responds; the key window of 5 s starts here
     advance_until(4, 2)
     second, _ = bench.connect_endpoint()
     advance_until(3.8, 3)
@@ -157,15 +158,15 @@
     advance_until(5, 3)
     assert len(bench.clock.tcpClients) == 3 and bench.clock.seconds() < started_s + 4.5
     advance_until(5.06, 4)
-    _, transport = bench.connect_endpoint()  # the third attempt's connection is up only now
+    _, transport = bench.connect_endpoint()  # connection of the third attempt
     assert transport.value() == b""
     bench.clock.pump([0.01] * 3)
     assert bench.forwarder.open_count == 0 and len(bench.notifications.unacknowledged) == 1
 
 
-@pytest.mark.parametrize("news", ["wait", "drain"])
-def test_nothing_is_written_after_a_retry_after_or_a_drain_during_the_connect(
-    tmp_path: Path, news: str
+@pytest.mark.parametrize("change", ["wait", "drain"])
+def test_no_attempt_is_sent_after_a_retry_after_or_a_drain_during_the_connect(
+    tmp_path: Path, change: str
 ) -> None:
     bench = SubmissionBench(tmp_path)
     client, _ = bench.connect_client()
@@ -174,7 +175,7 @@
     bench.submit(client, "m2")
     bench.clock.advance(0)
     one, other = (factory for *_, factory in (each[:3] for each in bench.clock.tcpClients))
-    if news == "wait":
+    if change == "wait":
         refused, transport = one.buildProtocol(None), MemoryTransport()
         refused.makeConnection(transport)
         refused.dataReceived(b"HTTP/1.1 429 No\r\nX-Come-Back-Ms: 700\r\nContent-Length: 0\r\n\r\n")
@@ -194,7 +195,7 @@
     link, _ = bench.connect_endpoint()
     link.dataReceived(b"HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n")
     bench.clock.pump([0.05] * 4)
-    assert len(bench.clock.tcpClients) == 2  # and this one never comes up
+    assert len(bench.clock.tcpClients) == 2  # the second is never connected
     bench.notifications.change_address(("127.0.0.3", 8500))
     assert bench.clock.tcpClients[-1][0] == "127.0.0.3"
     link, transport = bench.connect_endpoint()
@@ -209,13 +210,13 @@
 
 def test_known_ids_full_capacity_and_unlisted_destinations_are_rejected(tmp_path: Path) -> None:
     bench = SubmissionBench(tmp_path, max_open=1)
-    answers = []
+    statuses = []
     for message, dest in (("m1", 7), ("m1", 7), ("m2", 7), ("m3", 8)):
         connection, transport = bench.connect_client()
         bench.submit(connection, message, dest)
         bench.clock.advance(0)
-        answers.append(status_of(transport))
-    assert answers == [b"202", b"409", b"429", b"503"] and bench.forwarder.open_count == 1
+        statuses.append(status_of(transport))
+    assert statuses == [b"202", b"409", b"429", b"503"] and bench.forwarder.open_count == 1
     assert b"\r\nRetry-After: " in transport.value()
 
 
@@ -236,16 +237,16 @@
 ) -> None:
     bench = SubmissionBench(tmp_path)
 
-    def full(fd: int, data: bytes) -> int:
+    def raise_disk_full(fd: int, data: bytes) -> int:
         raise OSError(28, "no space")
 
-    monkeypatch.setattr(os, "write", full)
+    monkeypatch.setattr(os, "write", raise_disk_full)
     connection, transport = bench.connect_client()
     bench.submit(connection, "m1")
     bench.clock.pump([0.01] * 3)
     assert status_of(transport) == b"503" and b"Retry-After" in transport.value()
     assert bench.forwarder.open_count == 0 and bench.clock.tcpClients == []
-    bench.submit(connection, "m1-again")  # now the log is known to fail
+    bench.submit(connection, "m1-again")  # the log is already unavailable
     bench.clock.pump([0.01] * 3)
     assert transport.value().count(b"HTTP/1.1 503") == 2 and bench.forwarder.counters.accepted == 1
     monkeypatch.undo()
--- a/tests/test_write_ahead_log.py
+++ b/tests/test_write_ahead_log.py
@@ -1,4 +1,4 @@
-"""The records and segments of the write-ahead log under cuts, garbage, full disks and a full bound."""
+"""Write-ahead log: record encoding, damaged files, full disks, the size limit and compaction."""
 
 from __future__ import annotations
 
@@ -52,23 +52,23 @@
 ]
 
 
-def test_records_are_decoded_as_they_were_encoded() -> None:
+def test_decoding_restores_the_encoded_records() -> None:
     assert list(decode_records(b"".join(map(encode_record, RECORDS)))) == RECORDS
 
 
 def test_decoding_ends_at_a_torn_or_damaged_record() -> None:
     data = b"".join(map(encode_record, RECORDS))
-    first = len(encode_record(RECORDS[0]))
+    first_size = len(encode_record(RECORDS[0]))
     for cut in range(len(data)):
         read = list(decode_records(data[:cut]))
-        assert read == RECORDS[: len(read)] and (cut < first) == (not read)
-        changed = data[:cut] + bytes([data[cut] ^ 0x55]) + data[cut + 1 :]
-        read = list(decode_records(changed))
+        assert read == RECORDS[: len(read)] and (cut < first_size) == (not read)
+        damaged = data[:cut] + bytes([data[cut] ^ 0x55]) + data[cut + 1 :]
+        read = list(decode_records(damaged))
         assert read == RECORDS[: len(read)] and len(read) < len(RECORDS)
 
 
 class Submission:
-    """A submission as the log sees one."""
+    """The attributes of a submission that the log reads."""
 
     class_name, destination, tenant = "note", 1, "t"
 
@@ -80,7 +80,7 @@
     return WriteAheadLog(str(folder), max_bytes, make_clocks(lambda: SECOND))
 
 
-def test_committed_records_outlive_a_process_that_never_closed_its_log(tmp_path: Path) -> None:
+def test_committed_records_survive_a_process_that_did_not_close_its_log(tmp_path: Path) -> None:
     log = open_log(tmp_path)
     for name in ("a", "b", "c"):
         log.record_accepted(Submission(name))
@@ -92,7 +92,7 @@
     assert list(pending) == ["a", "b"] and pending["b"].in_flight == {0: SECOND}
 
 
-def test_garbage_and_foreign_files_never_stop_a_start(tmp_path: Path) -> None:
+def test_the_log_opens_despite_garbage_and_foreign_files(tmp_path: Path) -> None:
     log = open_log(tmp_path)
     log.record_accepted(Submission("a"))
     log.commit()
@@ -113,12 +113,10 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_files_stay_under_the_bound_and_hold_all_pending_messages_at_every_moment(
-    tmp_path: Path, seed: int
-) -> None:
+def test_files_stay_within_the_size_limit_and_keep_all_pending_messages(tmp_path: Path, seed: int) -> None:
     rng, max_bytes = random.Random(seed), 60_000
     log, expected = open_log(tmp_path, max_bytes), dict[str, int]()
-    refused = 0
+    rejected = 0
     for number in range(1500):
         name = f"m{number}"
         body = bytes(rng.randrange(3000))
@@ -126,9 +124,9 @@
             log.record_accepted(Submission(name, body))
             expected[name] = 0
         else:
-            refused += 1
+            rejected += 1
         for other in rng.sample(sorted(expected), min(len(expected), 3)):
-            if rng.random() < 0.35 and other != "m3":  # one stays to the end
+            if rng.random() < 0.35 and other != "m3":  # stays pending to the end
                 log.record_completed(other)
                 del expected[other]
             else:
@@ -142,16 +140,16 @@
             found = {message: each.attempt_count for message, each in read.pending_messages.by_id.items()}
             assert found == expected
             log = read
-    assert refused and len(list(tmp_path.iterdir())) < 40
+    assert rejected and len(list(tmp_path.iterdir())) < 40
 
 
 def test_compaction_keeps_the_order_of_acceptance_over_restarts(tmp_path: Path) -> None:
-    """A fault that was open: a start took the message that was copied forward for the last one."""
+    """Guards against recovery that orders a message copied by compaction as the last accepted one."""
     log = open_log(tmp_path)
 
-    def add_completed(name: str, until: Callable[[], bool]) -> None:
-        for number in range(200):  # completed at once, until a segment is compacted
-            if until():
+    def complete_messages_until(name: str, condition: Callable[[], bool]) -> None:
+        for number in range(200):
+            if condition():
                 return
             log.record_accepted(Submission(f"{name}{number}", bytes(900)))
             log.record_completed(f"{name}{number}")
@@ -162,9 +160,11 @@
         log.record_accepted(Submission(name))
         log.commit()
         size = len(log.files.sizes)
-        add_completed(f"after-{name}-", lambda size=size: len(log.files.sizes) > size)  # type: ignore[misc]
-    add_completed("on-", lambda: log._segment_of_message["first"] > log._segment_of_message["second"])
-    log = open_log(tmp_path)  # another process, which counts on
+        complete_messages_until(f"after-{name}-", lambda size=size: len(log.files.sizes) > size)  # type: ignore[misc]
+    complete_messages_until(
+        "on-", lambda: log._segment_of_message["first"] > log._segment_of_message["second"]
+    )
+    log = open_log(tmp_path)  # as the next process does
     assert list(log.pending_messages.by_id) == ["second", "first"]
     log.record_accepted(Submission("third"))
     log.commit()
@@ -178,7 +178,7 @@
 
 
 class Disk:
-    """A disk with so many bytes left for the log; ``None``: any number."""
+    """A disk with ``free_bytes`` left; unlimited if ``None``."""
 
     def __init__(self, patch: Any) -> None:
         self.free_bytes: int | None = None
@@ -195,7 +195,7 @@
 
 
 @pytest.mark.parametrize("free_bytes", [0, 40])
-def test_a_full_disk_accepts_nothing_loses_nothing_and_recovers_when_it_has_space(
+def test_a_full_disk_makes_the_log_unavailable_without_loss_until_space_is_free(
     tmp_path: Path, monkeypatch: Any, free_bytes: int
 ) -> None:
     disk, log = Disk(monkeypatch), open_log(tmp_path)
@@ -215,13 +215,13 @@
     assert list(pending) == ["old"] and list(pending["old"].in_flight) == [0]
 
 
-def test_a_segment_whose_compaction_fails_stays(tmp_path: Path, monkeypatch: Any) -> None:
+def test_a_segment_is_kept_if_its_compaction_fails(tmp_path: Path, monkeypatch: Any) -> None:
     disk, log = Disk(monkeypatch), open_log(tmp_path)
     log.record_accepted(Submission("old", bytes(2000)))
     log.commit()
     write = log._write_records
 
-    def failing(records: list[LogRecord]) -> bool:
+    def write_unless_compacting(records: list[LogRecord]) -> bool:
         disk.free_bytes = (
             0
             if any(isinstance(each, MessageAccepted) and each.message == "old" for each in records)
@@ -229,8 +229,8 @@
         )
         return write(records)
 
-    monkeypatch.setattr(log, "_write_records", failing)
-    for number in range(25):  # past the bound at which the oldest segment is compacted
+    monkeypatch.setattr(log, "_write_records", write_unless_compacting)
+    for number in range(25):  # beyond the size at which compaction starts
         log.record_accepted(Submission(f"m{number}", bytes(2000)))
         log.record_completed(f"m{number}")
         log.commit()
@@ -240,7 +240,7 @@
 
 def test_messages_completed_before_a_restart_use_no_capacity_after_it(tmp_path: Path) -> None:
     log = open_log(tmp_path)
-    log.record_accepted(Submission("first"))  # keeps all later segments
+    log.record_accepted(Submission("first"))  # prevents the removal of later segments
     for number in range(20):
         name = f"m{number}"
         log.record_accepted(Submission(name, bytes(1000)))
