--- a/benchmarks/soak_mutants.py
+++ b/benchmarks/soak_mutants.py
@@ -215,7 +215,11 @@
     ),
     "a reset is taken for a failed connect": _mutant(
         (FaultKind.ENDPOINT_MODE, FaultKind.LINK),
-        ("node/http_call.py", "elif not self.is_started or self._is_cut_off(connection):", "elif True:"),
+        (
+            "node/http_call.py",
+            "elif not self.is_started or self._is_request_incomplete(connection):",
+            "elif True:",
+        ),
     ),
     "a notification is not sent again": _mutant(
         (FaultKind.DISCOVERY_LINK, FaultKind.SYSTEM_CALL, *ENDPOINTS),
--- a/honeybarrow/node/discovery.py
+++ b/honeybarrow/node/discovery.py
@@ -1,17 +1,16 @@
-"""The watch at discovery: opened when the policy subscribes, and opened anew when it falls silent.
+"""Client of the discovery service: a long-lived watch of the endpoint list.
 
-A change that a silent watch misses counts as known 6 s after the silence began, whether it came or not. So
-silence is noticed at the first missing heartbeat, and a new watch is opened at once from the version held.
-Only if that one fails, the policy is notified, and decides when to ask again. There is one watch at a time.
+The platform requires a change to be applied within 6 s, even if the watch has silently stopped. A missing
+heartbeat therefore reopens the watch at once, from the current version. If the new watch fails as well, the
+policy is notified and decides when to subscribe again. At most one watch is open.
 
-After a call that failed, was refused or timed out, a change counts as known 6 s after discovery had it and
-could be reached. In the worst case discovery can be reached just after a call has begun that gets no answer:
-that call times out after ``ANSWER_TIMEOUT_S``, then comes the policy's longest delay, then the answer to the
-next call.
+After a failed, refused or timed-out request, a change must be applied within 6 s of discovery being
+reachable. The worst case is a request that begins just before that: ``ANSWER_TIMEOUT_S``, plus the policy's
+longest backoff, plus the response time of the next request.
 
-A discovery that is overloaded sheds calls for longer than that, though it can be reached. So the list is
-outdated once such refusals have come and no sign of life for ``MAX_LIST_AGE_S``. It is not while discovery is
-down, when no change counts as known.
+An overloaded discovery may reject requests for longer than that. The list counts as outdated if discovery has
+rejected a request and neither an item nor a heartbeat arrived for ``MAX_LIST_AGE_S``. It does not become
+outdated while discovery is unreachable.
 """
 
 from __future__ import annotations
@@ -31,18 +30,18 @@
 from honeybarrow.node.sockets import write_now
 from honeybarrow.ports import Clock, DelayedCall, Network
 
-HEARTBEAT_INTERVAL_S = 2.0  # between empty lines while nothing changes, by the platform's protocol
-WATCH_TIMEOUT_S = 1.3 * HEARTBEAT_INTERVAL_S  # without an item or an empty line; a wrong guess costs one call
-ANSWER_TIMEOUT_S = 2.2  # from the connect to the head of the answer: two fit in the 6 s
-MAX_LIST_AGE_S = 5.9  # since the last item or heartbeat; a change after that counts as known at 6 s
-MAX_LIST_AGE_AFTER_MOVE_S = 3.9  # since a reload with another address, or the start: known at 4 s
-# From the request to the head: overload is shed at once, a gateway to a discovery that is down takes 2 s.
+HEARTBEAT_INTERVAL_S = 2.0  # between empty lines of an unchanged list, defined by the platform's protocol
+WATCH_TIMEOUT_S = 1.3 * HEARTBEAT_INTERVAL_S  # without an item or a heartbeat
+ANSWER_TIMEOUT_S = 2.2  # from the connect to the response head; two of these fit into 6 s
+MAX_LIST_AGE_S = 5.9  # since the last item or heartbeat; below the required 6 s
+MAX_LIST_AGE_AFTER_MOVE_S = 3.9  # since the start or a change of address; below the required 4 s
+# An overloaded discovery rejects requests within this time; a gateway reports an unreachable one later.
 MAX_REFUSAL_DELAY_S = 1.0
 log = logging.getLogger("honeybarrow.node")
 
 
 class _Watch(Protocol):
-    """A connection that carries one watch."""
+    """Connection that carries one watch."""
 
     transport: Any = None
 
@@ -51,11 +50,11 @@
         self.reader = http.ResponseReader()
         self.items = WatchReader()
         self.is_closed = False
-        self.has_answered = False  # the head of the answer has come
+        self.has_answered = False  # the response head has been received
         self.requested_at_s = 0.0
 
     def connectionMade(self) -> None:
-        """Ask for the watch, from the version held."""
+        """Request the watch, starting from the current version."""
         if self.is_closed:
             self.transport.abortConnection()
             return
@@ -69,7 +68,7 @@
         self.requested_at_s = self.discovery.clock.seconds()
 
     def dataReceived(self, data: bytes) -> None:
-        """Read the answer and pass its items on."""
+        """Parse the response and forward its items."""
         for event in self.reader.receive(data):
             if self.is_closed:
                 return
@@ -85,20 +84,20 @@
                     self.discovery.on_watch_failed(self, "the watch has ended")
 
     def _receive_items(self, part: bytes) -> None:
-        before = self.items.sign_of_life_count
+        before = self.items.activity_count
         try:
             updates = self.items.receive(part)
         except EndpointListError as error:
             self.discovery.on_watch_failed(self, format_error(error))
             return
-        # Danger: by bytes alone, a watch that trickles them without ending an item would look alive.
-        if self.items.sign_of_life_count > before:
+        # Only whole items and heartbeats count, so a watch that trickles bytes still times out.
+        if self.items.activity_count > before:
             self.discovery.on_watch_activity(self)
         for update in updates:
             if not self.is_closed:
                 self.discovery.on_watch_item(update)
-        # After the items, so that calls that were held go by them.
-        if self.items.sign_of_life_count > before:
+        # Confirmed after the updates, so that held calls use the new list.
+        if self.items.activity_count > before:
             self.discovery.on_list_confirmed()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
@@ -107,11 +106,11 @@
 
 
 class Discovery:
-    """The client of discovery.
+    """Client of the discovery service.
 
-    ``version``: of the list held, if there is one; ``on_update`` gets each item, ``on_failure`` an event for
-    the policy when the watch has failed, ``on_outdated`` whether the list held has become outdated (True) or
-    is confirmed again (False).
+    ``version`` is that of the current list, or ``None`` without one. ``on_update`` receives each item of the
+    list. ``on_failure`` receives an event for the policy when the watch fails. ``on_outdated`` receives
+    ``True`` when the list becomes outdated and ``False`` when it is confirmed again.
     """
 
     def __init__(
@@ -129,10 +128,10 @@
         self._on_update, self._on_failure, self._on_outdated = on_update, on_failure, on_outdated
         self._watch: _Watch | None = None
         self._timer: DelayedCall | None = None
-        self._is_subscribed = False  # the policy wants updates
-        self.is_outdated = False  # the list held may miss changes that count as known
+        self._is_subscribed = False
+        self.is_outdated = False  # the current list may lack changes that must be applied by now
         self._outdated_at_s = clock.seconds() + MAX_LIST_AGE_AFTER_MOVE_S
-        self._outdated_timer: DelayedCall | None = None  # once discovery has refused, until a sign of life
+        self._outdated_timer: DelayedCall | None = None  # from a rejection to the next item or heartbeat
 
     def subscribe(self) -> None:
         """Open a watch, unless one is open."""
@@ -141,7 +140,7 @@
             self._open_watch()
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Watch at another address from now on, at once and from the version held."""
+        """Reopen the watch at another address, starting from the current version."""
         if address == self.address:
             return
         self.address = address
@@ -178,19 +177,19 @@
         if not watch.has_answered:
             self.on_watch_failed(watch, "no answer")
             return
-        # Danger: by the policy's delays, which grow, the list would get older than is allowed.
+        # Reopened at once; with the policy's backoff the list could exceed its maximum age.
         log.info("watch_timeout reopening=True")
         self.close()
         self._open_watch()
 
     def on_watch_activity(self, watch: _Watch) -> None:
-        """Restart the timeout: the head of the answer, an item or a heartbeat has come."""
+        """Restart the watch timeout after a response head, an item or a heartbeat."""
         if watch is self._watch:
             watch.has_answered = True
             self._set_timer(WATCH_TIMEOUT_S)
 
     def on_watch_refused(self, watch: _Watch) -> None:
-        """Note an answer that is no list; from one that came at once on, the age of the list counts."""
+        """Limit the age of the list after a response with an error status that arrived quickly."""
         is_quick = self.clock.seconds() - watch.requested_at_s <= MAX_REFUSAL_DELAY_S
         if watch is self._watch and is_quick and self._outdated_timer is None:
             self._set_outdated_timer()
@@ -211,18 +210,18 @@
             self._on_outdated(is_outdated)
 
     def on_list_confirmed(self) -> None:
-        """Count the list's age from now: an item was taken, or a heartbeat has come."""
+        """Restart the age of the list after an item or a heartbeat."""
         self._outdated_at_s = self.clock.seconds() + MAX_LIST_AGE_S
         self._cancel_outdated_timer()
         self._set_outdated(False)
 
     def on_watch_item(self, update: EndpointList) -> None:
-        """Take the version of an item and pass it on."""
+        """Record the version of an item and forward the item."""
         self.version = update.version
         self._on_update(update)
 
     def on_watch_failed(self, watch: _Watch, reason: str) -> None:
-        """Close a watch that has failed, and report that."""
+        """Close a failed watch and report the failure."""
         if watch is not self._watch:
             return
         log.info("watch_failed reason=%r", reason)
--- a/honeybarrow/node/endpoint_list.py
+++ b/honeybarrow/node/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Discovery's endpoint list: its parsing, and the table of endpoints that it makes."""
+"""Parsing of discovery's endpoint list, and the table of listed endpoints."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from honeybarrow.events import Endpoint, EndpointState, MembershipUpdate, UpdateKind
 
 MAX_ENTRIES = 10_000  # of one item
-MAX_ITEM_BYTES = 4 << 20  # bytes of one item
-_BRACKET = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # brackets in a string are skipped with it
+MAX_ITEM_BYTES = 4 << 20
+_BRACKET = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # matches whole strings to skip brackets in them
 STATE_BY_STATUS = {
     "active": EndpointState.READY,
     "leaving": EndpointState.DRAINING,
@@ -24,9 +24,9 @@
 
 
 def parse_address(text: str, label: str = "address") -> SocketAddress:
-    """Parse ``host:port`` with a numeric IPv4 host; the network has no names.
+    """Parse ``host:port`` with a numeric IPv4 host; host names are not supported.
 
-    :raises ValueError: for anything else; its text begins with ``label``.
+    :raises ValueError: if the text is not such an address; the message begins with ``label``.
     """
     host, colon, port = text.rpartition(":")
     parts = host.split(".")
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """One item of discovery: the whole list (a snapshot) or what changed, with the endpoints' addresses."""
+    """An item of a watch: the whole list (a snapshot) or the changed endpoints, with their addresses."""
 
     version: int
     is_snapshot: bool
@@ -53,15 +53,15 @@
     addresses: dict[str, SocketAddress]
 
     def to_membership_update(self, kind: UpdateKind | None = None) -> MembershipUpdate:
-        """Return the event for the policy; ``kind`` replaces the item's own kind."""
+        """Return the event for the policy; ``kind`` overrides the kind of the item."""
         own = UpdateKind.FULL if self.is_snapshot else UpdateKind.CHANGES
         return MembershipUpdate(kind or own, self.version, self.endpoints)
 
 
 def parse_item(line: bytes) -> EndpointList:
-    """Parse one item of a watch, or a whole answer.
+    """Parse an item of a watch, or a whole response.
 
-    :raises EndpointListError: if it is no JSON or nothing of it can be used.
+    :raises EndpointListError: if it is not JSON or not an endpoint list.
     """
     try:
         value = json.loads(line)
@@ -71,22 +71,22 @@
 
 
 class WatchReader:
-    """Reads the items of a watch from its bytes: a line each, or several lines where they are indented.
+    """Incremental parser of the items of a watch.
 
-    What can't be parsed, and an item that an empty line (a heartbeat) cuts in two, raise
-    ``EndpointListError``.
+    An item takes one line, or several if its JSON is indented. An empty line is a heartbeat; within an item
+    it is an error.
     """
 
     def __init__(self) -> None:
-        self._partial_line = bytearray()  # of an item
-        self._partial_item = bytearray()  # whole lines of an item that is not
-        self._open_brackets = 0  # in these lines
-        self.sign_of_life_count = 0  # whole items and empty lines so far; bytes alone are none
+        self._partial_line = bytearray()
+        self._partial_item = bytearray()  # complete lines of an incomplete item
+        self._open_brackets = 0  # in ``_partial_item``
+        self.activity_count = 0  # complete items and heartbeats received
 
     def receive(self, data: bytes) -> list[EndpointList]:
-        """Return the items that these bytes complete.
+        """Add received bytes; return the items that they complete.
 
-        :raises EndpointListError: if nothing more can be read from this watch.
+        :raises EndpointListError: if the watch can't be parsed; no more bytes may be added then.
         """
         self._partial_line += data
         if len(self._partial_line) + len(self._partial_item) > MAX_ITEM_BYTES:
@@ -98,8 +98,8 @@
     def _receive_line(self, line: bytes) -> EndpointList | None:
         if not line.strip():
             if self._partial_item:
-                raise EndpointListError("an item of the list ends in the middle")
-            self.sign_of_life_count += 1
+                raise EndpointListError("an item of the list is interrupted by an empty line")
+            self.activity_count += 1
             return None
         for token in _BRACKET.findall(line):
             self._open_brackets += (token in (b"{", b"[")) - (token in (b"}", b"]"))
@@ -107,20 +107,20 @@
         if self._open_brackets > 0:
             return None
         item, self._partial_item, self._open_brackets = bytes(self._partial_item), bytearray(), 0
-        self.sign_of_life_count += 1
+        self.activity_count += 1
         return parse_item(item)
 
 
 def parse_endpoint_list(value: Any) -> EndpointList:
-    """Check an item that was parsed as JSON. An entry that can't be used is skipped and logged.
+    """Convert a parsed JSON item. Invalid entries are skipped and logged.
 
-    :raises EndpointListError: if nothing of it can be used.
+    :raises EndpointListError: if the value is not an endpoint list.
     """
     if not isinstance(value, dict) or not isinstance(value.get("endpoints"), list):
-        raise EndpointListError("an item of the list has no endpoints")
+        raise EndpointListError("an item of the list has no array 'endpoints'")
     version, rows = value.get("index"), value["endpoints"]
     if isinstance(version, bool) or not isinstance(version, int):
-        raise EndpointListError("an item of the list has no index")
+        raise EndpointListError("an item of the list has no integer 'index'")
     if len(rows) > MAX_ENTRIES:
         raise EndpointListError(f"an item of the list has more than {MAX_ENTRIES} entries")
     endpoints: list[Endpoint] = []
@@ -131,8 +131,8 @@
             endpoint, address = _parse_entry(row)
         except (KeyError, TypeError, ValueError) as error:
             skipped += 1
-            if skipped == 1:  # the others are counted: a damaged list may have thousands
-                remedy = "look at discovery"
+            if skipped == 1:  # only the first is logged in full; a damaged list may have thousands
+                remedy = "correct this entry in discovery"
                 log.warning("list_entry_skipped reason=%s entry=%.200r remedy=%r", error, row, remedy)
             continue
         endpoints.append(endpoint)
@@ -146,10 +146,10 @@
 def _parse_entry(row: Any) -> tuple[Endpoint, SocketAddress | None]:
     name, group, state = row["name"], row["group"], STATE_BY_STATUS[row["status"]]
     if not isinstance(name, str) or not name or isinstance(group, bool) or not isinstance(group, int):
-        raise ValueError("name or group")
+        raise ValueError("'name' is not a non-empty string or 'group' is not an integer")
     weight = row.get("weight", 1.0)
     if isinstance(weight, bool) or not isinstance(weight, int | float):
-        raise ValueError("weight")
+        raise ValueError("'weight' is not a number")
     address = None
     if state is not EndpointState.GONE or "address" in row:
         address = parse_address(str(row.get("address", "")))
@@ -158,18 +158,16 @@
 
 
 class EndpointTable:
-    """Addresses of the listed endpoints, and which of them accept new calls."""
+    """Table of the listed endpoints: their addresses, and which of them accept new calls."""
 
     def __init__(self) -> None:
         self.addresses: dict[str, SocketAddress] = {}
-        self.endpoints: dict[str, Endpoint] = {}  # as listed last
+        self.endpoints: dict[str, Endpoint] = {}
         self.accepting: dict[str, None] = {}
-        self.listed_destinations: dict[
-            int, None
-        ] = {}  # ever, in this process; bounded by what discovery lists
+        self.listed_destinations: dict[int, None] = {}  # all that were listed since the start of the process
 
     def apply_update(self, update: EndpointList) -> list[str]:
-        """Apply an item of the list; return the endpoints whose idle connections are of no further use."""
+        """Apply an item of the list; return the endpoints whose idle connections must be closed."""
         listed = {endpoint.target: None for endpoint in update.endpoints}
         unusable = [target for target in self.addresses if update.is_snapshot and target not in listed]
         for endpoint in update.endpoints:
@@ -198,14 +196,14 @@
         self.accepting.pop(target, None)
 
     def to_membership_update(self, version: int, is_outdated: bool) -> MembershipUpdate:
-        """Return all that is listed as an event for the policy; what is outdated accepts no new calls."""
+        """Return the whole table as an event for the policy; endpoints of an outdated list are draining."""
         endpoints = tuple(self.endpoints.values())
         if is_outdated:
             endpoints = tuple(replace(each, state=EndpointState.DRAINING) for each in endpoints)
         return MembershipUpdate(UpdateKind.CHANGES, version, endpoints)
 
     def addresses_of(self, target: str) -> list[SocketAddress]:
-        """Return the address of an endpoint that accepts new calls, else nothing."""
+        """Return the address of an endpoint that accepts new calls, otherwise an empty list."""
         return [self.addresses[target]] if target in self.accepting else []
 
     def accepts_calls(self, target: str) -> bool:
@@ -213,5 +211,5 @@
         return target in self.accepting
 
     def is_destination_listed(self, destination: int) -> bool:
-        """Return whether a destination has ever been in the list."""
+        """Return whether a destination has been listed since the start of the process."""
         return destination in self.listed_destinations
--- a/honeybarrow/node/http_call.py
+++ b/honeybarrow/node/http_call.py
@@ -1,6 +1,7 @@
-"""One call to an endpoint: it ends exactly once, and nothing is sent again here; a retry is the policy's.
+"""A single HTTP call to an endpoint.
 
-The border between "has not run" and "may have run" is the call's last byte reaching the operating system.
+Each call ends with exactly one outcome and is never retried here; retries are decided by the policy. A call
+counts as possibly executed once the last byte of its request has been handed to the operating system.
 """
 
 from __future__ import annotations
@@ -28,18 +29,21 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpPayload:
-    """What a call carries, as the client submitted it; ``expires_at_us`` is log time, for the record."""
+    """Message as submitted by the client.
+
+    ``expires_at_us`` is a time of the write-ahead log's clock and is stored with the message.
+    """
 
     message: str
     idempotency_key: str
     body: bytes
     expires_at_us: int = 0
     idempotency: Idempotency = Idempotency.IDEMPOTENT
-    order_key: str = ""  # the key that it is kept in order by, in a class that asks for it
+    order_key: str = ""  # set only for ordered message classes
 
 
 class HttpCall:
-    """One call: from the pool's promise to its one outcome."""
+    """A call to one endpoint, from its creation by the pool to its single outcome."""
 
     def __init__(
         self,
@@ -54,19 +58,19 @@
         self.deadline_s = pool.clock.seconds() + timeout_us / 1e6
         self.connection: HttpConnection | None = None
         self.connector: Any = None
-        self.is_written = False  # its last byte has reached the operating system
+        self.is_written = False  # the whole request was handed to the operating system
         self.is_started = False
-        self.has_rechecked = False  # what had arrived as its time ended
-        self.idle_us: int | None = None  # how long its connection had been idle, if it was
+        self.has_extended_timeout = False  # once, to read input that arrived before the timeout
+        self.idle_us: int | None = None  # idle time of a reused connection
         self.timer: DelayedCall | None = None
 
     def start(self, idle: HttpConnection | None, address: SocketAddress) -> None:
-        """Begin on an idle connection, or connect."""
+        """Send the request on an idle connection, or open a new one."""
         clock = self.pool.clock
         left_s = max(0.0, self.deadline_s - clock.seconds())
         if idle is not None:
             self.connection, idle.call = idle, self
-            self.idle_us = int((clock.seconds() - idle.since_s) * 1e6)
+            self.idle_us = int((clock.seconds() - idle.waiting_since_s) * 1e6)
             self.timer = clock.callLater(left_s, self._on_timeout)
             self.on_connection_ready(idle)
             return
@@ -78,9 +82,9 @@
         self.connector = self.pool.network.connectTCP(*address, Connector(connection), timeout=wait_s + 1)
 
     def on_connection_ready(self, connection: HttpConnection) -> None:
-        """The connection is up: write the call."""
-        # Danger: while the connection came up the list may have said that the target leaves, another call may
-        # have been advised a wait, and a key's window may have ended: a first byte now would break a rule.
+        """Write the request, unless the call is no longer permitted."""
+        # While the connection was being established, the target may have left the list, another call may
+        # have received a Retry-After, or the idempotency window may have ended.
         self.pool.read_arrived_answers()
         is_gone = not self.pool.can_send_to(self.target)
         if reason := "the target is no longer listed" if is_gone else self.permit.record_start():
@@ -94,12 +98,12 @@
         self.is_started = True
         try:
             self.is_written = connection.send_request(self._encode(connection, now_s))
-        except OSError as error:  # the target had closed it; nothing was written
+        except OSError as error:  # the peer had closed the connection; nothing was written
             connection.call = None
             connection.close()
             self.finish(AttemptOutcome(AttemptStatus.CONNECT_FAILED, True, reason=str(error)))
             return
-        if not self.is_written and self.timer is not None:  # its last byte waits for room, and not for ever
+        if not self.is_written and self.timer is not None:  # limit the wait for buffer space
             self.timer.cancel()
             left_s = min(self.deadline_s - now_s, self.permit.time_left_us() / 1e6)
             self.timer = self.pool.clock.callLater(max(0.0, left_s), self._on_timeout)
@@ -115,23 +119,23 @@
         return http.encode_request("POST", "/v1/messages", fields, payload.body)
 
     def on_connection_lost(self, connection: HttpConnection, failure: Failure) -> None:
-        """The connection is gone, or never came up."""
+        """Finish the call after its connection was lost or could not be established."""
         reason = failure.getErrorMessage()
         if not self.is_started and is_local_connect_failure(failure):
-            # Danger: as a failed connect it would count against an endpoint that nobody has asked.
+            # A local failure, such as no free port, must not count against the endpoint.
             self.finish(AttemptOutcome(AttemptStatus.NOT_SENT, True, reason=reason))
-        elif not self.is_started or self._is_cut_off(connection):
+        elif not self.is_started or self._is_request_incomplete(connection):
             self.finish(AttemptOutcome(AttemptStatus.CONNECT_FAILED, True, reason=reason))
         else:
             self.record_reuse_result(is_lost=connection.reader is None or not connection.reader.has_started)
             self.finish(connection.classify_partial(AttemptStatus.RESET, reason))
 
     def record_reuse_result(self, is_lost: bool) -> None:
-        """Tell the keep-alive policy whether the call was lost with its connection, before an answer."""
+        """Report to the keep-alive policy whether the connection was lost before any response byte."""
         self.pool.keep_alive.record_call(int(self.pool.clock.seconds() * 1e6), self.idle_us, is_lost)
 
-    def _is_cut_off(self, connection: HttpConnection | None) -> bool:
-        """Whether its last byte has not reached the operating system, so that it has not run."""
+    def _is_request_incomplete(self, connection: HttpConnection | None) -> bool:
+        """Return whether part of the request is still buffered, so that it can't have been executed."""
         transport = connection.transport if connection is not None else None
         return (
             self.is_started
@@ -143,34 +147,34 @@
     def _on_timeout(self) -> None:
         self.timer = None
         connection = self.connection
-        is_cut_off = self._is_cut_off(connection)
+        is_incomplete = self._is_request_incomplete(connection)
         left_s = self.deadline_s - self.pool.clock.seconds()
-        if self.is_started and not is_cut_off and left_s > 0:  # it was only late to be written
+        if self.is_started and not is_incomplete and left_s > 0:  # written since; wait for the response
             self.is_written = True
             self.timer = self.pool.clock.callLater(left_s, self._on_timeout)
             return
-        # Danger: timers go before sockets in a round, so an answer may have come in time and not be read yet.
-        is_unchecked = self.is_started and not self.has_rechecked
-        if is_unchecked and connection is not None and has_unread_bytes(connection.transport):
-            self.has_rechecked = True
+        # The reactor runs timers before sockets, so a response that arrived in time may still be unread.
+        can_extend = self.is_started and not self.has_extended_timeout
+        if can_extend and connection is not None and has_unread_bytes(connection.transport):
+            self.has_extended_timeout = True
             self.timer = self.pool.clock.callLater(0, self._on_timeout)
             return
         if connection is not None and connection.reader is not None and connection.reader.status == 200:
-            connection.finish_call(AttemptOutcome(AttemptStatus.OK))  # true, whatever of the rest is missing
+            connection.finish_call(AttemptOutcome(AttemptStatus.OK))  # the status line alone is sufficient
             connection.close()
             return
-        self._give_up(connection, is_cut_off)
+        self._finish_without_response(connection, is_incomplete)
 
-    def _give_up(self, connection: HttpConnection | None, is_cut_off: bool) -> None:
-        """End without an answer; the connection goes with the call."""
+    def _finish_without_response(self, connection: HttpConnection | None, is_incomplete: bool) -> None:
+        """Finish a timed-out call and close its connection."""
         if connection is not None:
             connection.call = None
-            connection.close()  # Danger: its answer may still come, and would be taken for the next call's
+            connection.close()  # a late response would be taken for the response to the next call
         if not self.is_started:
             if self.connector is not None:
                 self.connector.stopConnecting()
             self.finish(AttemptOutcome(AttemptStatus.CONNECT_FAILED, True, reason="not connected in time"))
-        elif is_cut_off:
+        elif is_incomplete:
             self.finish(AttemptOutcome(AttemptStatus.TIMEOUT, True, reason="not written in time"))
         else:
             is_unread = connection is None or connection.reader is None or not connection.reader.has_started
@@ -180,7 +184,7 @@
             self.finish(partial or AttemptOutcome(AttemptStatus.TIMEOUT, reason=reason))
 
     def finish(self, outcome: AttemptOutcome) -> None:
-        """End with this outcome, unless it has one."""
+        """Set the outcome of the call, unless it already has one."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
--- a/honeybarrow/node/http_connection.py
+++ b/honeybarrow/node/http_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint, from connect to close: it carries one call at a time."""
+"""HTTP connection to an endpoint, carrying one call at a time."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class HttpConnection(Protocol):
-    """One connection to a target, from connect to close."""
+    """Client connection to a target, from connect to close."""
 
     transport: Any = None
 
@@ -29,32 +29,32 @@
         self.call: HttpCall | None = None
         self.reader: http.ResponseReader | None = None
         self.head: http.Head | None = None
-        self.since_s = 0.0  # when it became idle, or its answer's head had come
+        self.waiting_since_s = 0.0  # time at which it became idle or began to await the rest of a body
         self.is_closed = False
 
     def connectionMade(self) -> None:
-        """Twisted: the connection is up."""
+        """Start the pending call; called by Twisted."""
         self.transport.setTcpNoDelay(True)
-        if self.call is None:  # its call ended while it came up
+        if self.call is None:  # the call ended during the connect
             self.close()
         else:
             self.call.on_connection_ready(self)
 
     def send_request(self, data: bytes) -> bool:
-        """Write a request; whether all of it has reached the operating system."""
+        """Write a request; return whether all of it was handed to the operating system."""
         self.reader, self.head = http.ResponseReader(http.MAX_BODY_BYTES), None
         return write_now(self.transport, data)
 
     def dataReceived(self, data: bytes) -> None:
-        """Twisted: bytes of an answer came."""
-        if self.reader is None:  # nothing was asked: what comes would be taken for a later answer
+        """Parse received bytes; called by Twisted."""
+        if self.reader is None:  # unsolicited data would be taken for the next call's response
             self.close()
             return
         for event in self.reader.receive(data):
             match event:
                 case http.Head():
                     self.head = event
-                    if event.status == 200:  # its first line is true whatever follows
+                    if event.status == 200:  # delivered, even if the body is truncated or invalid
                         self.pool.await_response_rest(self)
                         self._finish_by_head(event)
                 case http.Complete(reuse):
@@ -73,7 +73,7 @@
             self.close()
 
     def _on_invalid_response(self, event: http.InvalidResponse) -> None:
-        remedy = "tell the target's owner: what it answers is no HTTP/1.1 within the protocol's bounds"
+        remedy = "tell the target's owner: its responses are not valid HTTP/1.1 within the protocol's limits"
         self.pool.rate_limited_log.warn("invalid_response", f"{self.target}: {event.reason}", remedy)
         if event.status == 200:
             self.finish_call(AttemptOutcome(AttemptStatus.OK))
@@ -81,7 +81,7 @@
             self.finish_call(self.classify_partial(AttemptStatus.RESET, f"invalid response: {event.reason}"))
 
     def classify_partial(self, status: AttemptStatus, reason: str) -> AttemptOutcome:
-        """Return the outcome of a call whose answer is truncated: ambiguous, but its Retry-After holds."""
+        """Return the ambiguous outcome of a truncated response, with its Retry-After if the head arrived."""
         head = self.head
         wait_us = classify_response(head.status, head.fields, ()).retry_after_us if head is not None else 0
         return AttemptOutcome(status, retry_after_us=wait_us, reason=reason)
@@ -90,14 +90,14 @@
         self.finish_call(classify_response(head.status, head.fields, self.pool.load_report_fields))
 
     def finish_call(self, outcome: AttemptOutcome) -> None:
-        """End its call, if it carries one, by an answer."""
+        """Finish the current call, if any, with the outcome of a response."""
         call, self.call = self.call, None
         if call is not None:
             call.record_reuse_result(is_lost=False)
             call.finish(outcome)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Twisted: the connection is gone, or never came up."""
+        """Finish the current call after a loss or a failed connect; called by Twisted."""
         self.is_closed = True
         self.pool.remove(self)
         events = self.reader.on_connection_closed() if self.reader is not None else []
@@ -112,7 +112,7 @@
             call.on_connection_lost(self, reason)
 
     def close(self) -> None:
-        """Close at once: nothing that the target still says on it is wanted."""
+        """Abort the connection and discard any unread input."""
         self.is_closed = True
         self.pool.remove(self)
         if self.transport is not None:
--- a/honeybarrow/node/http_connection_pool.py
+++ b/honeybarrow/node/http_connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections to all endpoints: idle ones are kept for the next call, within a bound of descriptors."""
+"""Pool of HTTP connections to all endpoints, with keep-alive and a limit on file descriptors."""
 
 from __future__ import annotations
 
@@ -17,20 +17,18 @@
 from honeybarrow.ports import AttemptPermit, Clock, Network
 from honeybarrow.settings import Idempotency
 
-READ_INTERVAL_S = 0.02  # no answer stays unread for longer while calls are written
-SWEEP_INTERVAL_S = 0.5  # between checks of idle connections
-IDLE_TIMEOUT_FRACTION = (
-    0.75  # of the time after which a target closes what is idle, and loses a request on it
-)
-RESPONSE_REST_TIMEOUT_S = 1.0  # for the rest of an answer whose head has said all; then its connection goes
-UNBOUNDED = 1 << 30  # connections
+READ_INTERVAL_S = 0.02  # minimum time between explicit reads of pending responses
+SWEEP_INTERVAL_S = 0.5  # between checks for expired connections
+IDLE_TIMEOUT_FRACTION = 0.75  # of the target's idle timeout, to close before the target does
+RESPONSE_REST_TIMEOUT_S = 1.0  # for the body after a 200 head, before the connection is closed
+UNLIMITED_CONNECTIONS = 1 << 30
 
 
 class HttpConnectionPool:
-    """The connections to all targets: ``max_idle`` idle ones in all, ``max_connections`` with those of calls.
+    """Pool of connections to all targets.
 
-    ``can_send_to`` tells whether a target may be sent new work, as far as the endpoint list says at this
-    moment.
+    ``max_idle`` limits the idle connections, ``max_connections`` the idle and active ones together.
+    ``can_send_to`` returns whether the current endpoint list allows new calls to a target.
     """
 
     def __init__(
@@ -42,19 +40,19 @@
         max_idle: int,
         load_report_fields: Sequence[str],
         can_send_to: Callable[[str], bool],
-        max_connections: int = UNBOUNDED,
+        max_connections: int = UNLIMITED_CONNECTIONS,
     ) -> None:
         self.network, self.clock, self.max_connections = network, clock, max_connections
         self.connect_timeout_s = connect_timeout_us / 1e6
         self.idle_timeout_s = idle_timeout_us / 1e6 * IDLE_TIMEOUT_FRACTION
         self.max_idle, self.load_report_fields, self.can_send_to = max_idle, load_report_fields, can_send_to
         self.active_calls: dict[HttpCall, None] = {}
-        self._answers_read_s = clock.seconds()
+        self._responses_read_at_s = clock.seconds()
         self.connects_started = 0
         self.keep_alive = KeepAlivePolicy()
         self.rate_limited_log = RateLimitedLog(clock.seconds)
         self._idle_by_target: dict[str, list[HttpConnection]] = {}
-        # delivered, and the rest of the answer has not come
+        # The call is delivered, but the response body is incomplete.
         self._awaiting_rest: dict[HttpConnection, None] = {}
         self.idle_count = 0
         clock.callLater(SWEEP_INTERVAL_S, self._close_expired)
@@ -67,10 +65,10 @@
         timeout_us: int,
         permit: AttemptPermit,
     ) -> Deferred[AttemptOutcome]:
-        """Carry a payload to a target; its outcome, exactly one, within the timeout."""
+        """Send a payload to a target; return a Deferred of its outcome, which fires within the timeout."""
         address = addresses[0]
         idle = self._take_idle(target, address, payload.idempotency)
-        # Danger: a connect without a descriptor fails, and would be taken for a sign of a target that's down.
+        # A connect that fails for lack of descriptors would count as a failure of the target.
         if idle is None and not self._ensure_capacity():
             outcome = AttemptOutcome(AttemptStatus.NOT_SENT, True, reason="no descriptor", no_slot_free=True)
             return succeed(outcome)
@@ -81,24 +79,24 @@
 
     @property
     def calls_in_flight(self) -> int:
-        """How many calls have no outcome yet."""
+        """Number of calls without an outcome."""
         return len(self.active_calls)
 
     def read_arrived_answers(self) -> None:
-        """Read what has arrived on the connections of started calls, unless that was done just now."""
-        # Danger: a reactor round that is busy with clients takes over 100 ms. A Retry-After that comes after
-        # its poll is read in the next one, and a call that is written before that would break the rule.
+        """Read pending responses of started calls, at most once per ``READ_INTERVAL_S``."""
+        # In a long reactor iteration, a Retry-After may arrive after the poll. It must be read before another
+        # call is written to its destination.
         now_s = self.clock.seconds()
-        if now_s - self._answers_read_s < READ_INTERVAL_S:
+        if now_s - self._responses_read_at_s < READ_INTERVAL_S:
             return
-        self._answers_read_s = now_s
+        self._responses_read_at_s = now_s
         for call in list(self.active_calls):
             connection = call.connection if call.is_started else None
             if connection is not None and has_unread_bytes(connection.transport):
                 connection.transport.doRead()
 
     def _ensure_capacity(self) -> bool:
-        """Whether one more connection may be opened; an idle one is closed for it if need be."""
+        """Return whether another connection may be opened, closing idle connections if necessary."""
         while self.calls_in_flight + self.idle_count + len(self._awaiting_rest) >= self.max_connections:
             if not self._idle_by_target:
                 return False
@@ -106,18 +104,20 @@
         return True
 
     def _close_oldest_idle(self) -> None:
-        min((idle[0] for idle in self._idle_by_target.values()), key=lambda each: each.since_s).close()
+        min(
+            (idle[0] for idle in self._idle_by_target.values()), key=lambda each: each.waiting_since_s
+        ).close()
 
     def _take_idle(
         self, target: str, address: SocketAddress, idempotency: Idempotency
     ) -> HttpConnection | None:
-        """The connection used last, unless one so old has proven to be worse than a new one."""
+        """Return the most recently used idle connection, if its idle age is acceptable."""
         now_s = self.clock.seconds()
         while idle := self._idle_by_target.get(target):
             connection = idle[-1]
-            age_us = int((now_s - connection.since_s) * 1e6)
+            age_us = int((now_s - connection.waiting_since_s) * 1e6)
             if age_us > self.keep_alive.max_idle_us(int(now_s * 1e6), idempotency):
-                return None  # it stays: for a call that can be repeated, or until it has idled out
+                return None  # kept in the pool, since an idempotent call may still use it
             self.remove(connection)
             is_fresh = age_us < self.idle_timeout_s * 1e6
             if is_fresh and connection.address == address and is_open_and_quiet(connection.transport):
@@ -126,11 +126,11 @@
         return None
 
     def add_idle(self, connection: HttpConnection) -> None:
-        """A connection is idle: keep it for the next call."""
+        """Keep an idle connection for the next call."""
         if connection.is_closed:
             return
         self._awaiting_rest.pop(connection, None)
-        connection.since_s = self.clock.seconds()
+        connection.waiting_since_s = self.clock.seconds()
         connection.reader = connection.call = None
         if self.idle_count >= self.max_idle:
             self._close_oldest_idle()
@@ -138,12 +138,12 @@
         self.idle_count += 1
 
     def await_response_rest(self, connection: HttpConnection) -> None:
-        """Its call is delivered; the rest of the answer has to come within a time."""
-        connection.since_s = self.clock.seconds()
+        """Limit the time for the rest of a response whose call is already delivered."""
+        connection.waiting_since_s = self.clock.seconds()
         self._awaiting_rest[connection] = None
 
     def remove(self, connection: HttpConnection) -> None:
-        """A connection is no longer idle, nor waits for the rest of an answer."""
+        """Remove a connection from the idle connections and from those that await a response body."""
         self._awaiting_rest.pop(connection, None)
         idle = self._idle_by_target.get(connection.target)
         if idle and connection in idle:
@@ -153,19 +153,19 @@
                 del self._idle_by_target[connection.target]
 
     def close_idle(self, target: str) -> None:
-        """Close the idle connections to a target; calls in flight go on."""
+        """Close the idle connections to a target; calls in flight are not affected."""
         for connection in list(self._idle_by_target.get(target, ())):
             connection.close()
 
     def _close_expired(self) -> None:
-        self.clock.callLater(SWEEP_INTERVAL_S, self._close_expired)  # first, whatever becomes of this one
+        self.clock.callLater(SWEEP_INTERVAL_S, self._close_expired)  # scheduled first, in case this run fails
         now_s = self.clock.seconds()
         for connection in [
-            each for each in self._awaiting_rest if each.since_s < now_s - RESPONSE_REST_TIMEOUT_S
+            each for each in self._awaiting_rest if each.waiting_since_s < now_s - RESPONSE_REST_TIMEOUT_S
         ]:
             connection.close()
         idle_before_s = now_s - self.idle_timeout_s
         for idle in list(self._idle_by_target.values()):
             for connection in list(idle):
-                if connection.since_s < idle_before_s:
+                if connection.waiting_since_s < idle_before_s:
                     connection.close()
--- a/honeybarrow/node/http_outcome.py
+++ b/honeybarrow/node/http_outcome.py
@@ -1,4 +1,4 @@
-"""What an answer of a target means: the outcome table of the platform's protocol, for answers read whole."""
+"""Mapping of complete HTTP responses to attempt outcomes, as defined by the platform's protocol."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from honeybarrow.events import AttemptStatus
 
 MAX_LOAD_REPORT_BYTES = 1024
-MAX_WAIT_DIGITS = 9  # of milliseconds: eleven days
+MAX_WAIT_DIGITS = 9  # of a delay in milliseconds
 
 
 def parse_load_report(value: bytes, fields: Sequence[str]) -> tuple[float, ...]:
-    """A load report in the settings' order of fields; empty if it can't be read whole."""
+    """Return the values of a load report in the order of ``fields``; empty if any is missing or invalid."""
     if not fields or not value or len(value) > MAX_LOAD_REPORT_BYTES:
         return ()
     try:
@@ -28,7 +28,7 @@
 def classify_response(
     status: int, fields: dict[bytes, bytes], load_report_fields: Sequence[str]
 ) -> AttemptOutcome:
-    """The outcome of an answer with this status and these header fields, their names in lower case."""
+    """Return the outcome of a response. The names in ``fields`` are lower case."""
     load = parse_load_report(fields.get(b"x-backend-load", b""), load_report_fields)
     match status:
         case 200:
--- a/honeybarrow/node/keep_alive.py
+++ b/honeybarrow/node/keep_alive.py
@@ -1,8 +1,8 @@
-"""How long a keep-alive connection may have been idle to carry another call, learnt from how such calls end.
+"""Adaptive limit on the idle age of reused keep-alive connections.
 
-Servers close idle connections early, unseen, or all at once, and a call written to one is lost without an
-answer. So losses are counted by the idle age of their connection, against losses on new connections, and say
-up to which age a connection is used. No I/O, no clock: times are microseconds, as arguments.
+A server may close an idle connection while a call is being written to it, and that call is lost. The policy
+compares the loss rate of calls by idle age with that of new connections and derives the maximum idle age. It
+does no I/O and reads no clock; all times are arguments in microseconds.
 """
 
 from __future__ import annotations
@@ -13,28 +13,29 @@
 from honeybarrow.settings import Idempotency
 
 IDLE_AGE_BUCKETS_US = (50_000, 100_000, 200_000, 400_000, 800_000, 1_600_000, 3_200_000, 6_400_000)
-DECAY_US = 30_000_000  # in which counts fall to a third, so that what is avoided is tried again later
-PRIOR_CALLS = 20.0  # calls without a loss that are assumed for each bucket
-# Shares of calls lost beyond those on new connections, from which on a new one is opened. A non-idempotent
-# call is lost for good with its connection, which costs far more than a handshake; others are retried.
+DECAY_US = 30_000_000  # time constant of the counts; rejected idle ages are tried again later
+PRIOR_CALLS = 20.0  # assumed successful calls of each bucket
+# Loss rates above that of new connections from which a new connection is preferred. The limit is lower for
+# non-idempotent calls because they can't be retried.
 MAX_EXCESS_LOSS_NON_IDEMPOTENT = 0.02
 MAX_EXCESS_LOSS_IDEMPOTENT = 0.2
 _UNLIMITED_US = 1 << 62
-_NEW_CONNECTION = -1  # the last bucket
+_NEW_CONNECTION = -1  # index of the last bucket
 
 
 class KeepAlivePolicy:
-    """Counts calls and losses by idle age: a few numbers, however many connections there are."""
+    """Counts calls and losses by idle age, in a fixed amount of memory."""
 
     def __init__(self) -> None:
-        self._calls = [0.0] * (len(IDLE_AGE_BUCKETS_US) + 2)  # by bucket; the last is that of new connections
+        self._calls = [0.0] * (len(IDLE_AGE_BUCKETS_US) + 2)  # by bucket; the last holds new connections
         self._losses = [0.0] * (len(IDLE_AGE_BUCKETS_US) + 2)
         self._decayed_at_us = 0
 
     def record_call(self, now_us: int, idle_us: int | None, is_lost: bool) -> None:
-        """Count a call whose connection had been idle so long (``None``: it was new).
+        """Count a call.
 
-        ``is_lost``: the connection broke, or nothing came in time, before a byte of an answer.
+        ``idle_us`` is the idle time of its connection, or ``None`` for a new one. ``is_lost`` means that the
+        connection was lost or the call timed out before the first byte of a response.
         """
         decay = self._decay(now_us)
         self._decayed_at_us = max(self._decayed_at_us, now_us)
@@ -45,7 +46,7 @@
         self._losses[bucket] += is_lost
 
     def max_idle_us(self, now_us: int, idempotency: Idempotency) -> int:
-        """Return the idle age up to which a connection may carry a call of this idempotency."""
+        """Return the maximum idle age of a connection for a call of this idempotency."""
         max_excess = (
             MAX_EXCESS_LOSS_NON_IDEMPOTENT
             if idempotency is Idempotency.NON_IDEMPOTENT
@@ -59,7 +60,7 @@
         return _UNLIMITED_US
 
     def _decay(self, now_us: int) -> float:
-        """Return the factor by which counts fall until now; never above 1, also if the clock steps back."""
+        """Return the decay factor since the last update; at most 1, even if the clock goes backwards."""
         return math.exp(min(0, self._decayed_at_us - now_us) / DECAY_US)
 
     def _loss_rate(self, bucket: int, decay: float) -> float:
--- a/honeybarrow/node/notifications.py
+++ b/honeybarrow/node/notifications.py
@@ -1,4 +1,4 @@
-"""Notifications of final results to the platform: each is sent until it is acknowledged, in batches."""
+"""Delivery of final results to the platform, in batches that are retried until acknowledged."""
 
 from __future__ import annotations
 
@@ -17,22 +17,21 @@
 from honeybarrow.recovery import FinalResult
 
 MAX_BATCH_SIZE = 200  # notifications in one request
-# The platform answers at once. The first timeout, doubled up to the second while no answer comes.
-# Danger: a notification counts as missing 0.3 s after its message's deadline, so a silent connection is
-# abandoned soon.
+# Doubled from the first value up to the second. A notification must arrive within 0.3 s of its message's
+# deadline, so an unresponsive connection is replaced early.
 MIN_ANSWER_TIMEOUT_S, MAX_ANSWER_TIMEOUT_S = 0.2, 1.0
-HOLD_CHECK_S = 0.05  # between looks at notifications that may not be sent yet
-CONNECT_TIMEOUT_S = 3.0  # of a connection, beside which others are tried
-MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.05, 1.0  # first delay after a failure, doubled up to the second
-MAX_QUICK_CONNECTS = 20  # failed ones in a row that are tried again after the first delay
-MAX_IDLE_S = 1.5  # after which a keep-alive connection carries no further batch
-MAX_LATE_CONNECTIONS = 3
+HOLD_CHECK_S = 0.05  # between checks for notifications that are not sendable yet
+CONNECT_TIMEOUT_S = 3.0  # other connections may be tried meanwhile
+MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.05, 1.0  # exponential backoff after a failure
+MAX_QUICK_CONNECTS = 20  # consecutive failed connects that are retried after the minimum delay
+MAX_IDLE_S = 1.5  # of a keep-alive connection that is reused
+MAX_LATE_CONNECTIONS = 3  # connections kept open for a late response
 ACKNOWLEDGED_STATUS = 204
 log = logging.getLogger("honeybarrow.node")
 
 
 def encode_notification(result: FinalResult) -> str:
-    """Return the line of one notification: failed, or returned with the delay before another submission."""
+    """Return the JSON line of a notification; a returned message has the delay before its resubmission."""
     line: dict[str, str | int] = {"message": result.message}
     line["outcome"] = "handed_back" if result.is_returned else "given_up"
     if result.is_returned and result.retry_after_ms > 0:
@@ -41,7 +40,7 @@
 
 
 class _NotificationConnection(Protocol):
-    """A connection to the platform that carries one batch at a time."""
+    """Connection to the platform that carries one batch at a time."""
 
     transport: Any = None
 
@@ -53,7 +52,7 @@
         self.is_abandoned = False
 
     def connectionMade(self) -> None:
-        """Write the batch that the connection was opened for."""
+        """Write the batch for which the connection was opened."""
         if self.is_abandoned:
             self.transport.abortConnection()
             return
@@ -61,9 +60,9 @@
         self.write_batch()
 
     def write_batch(self) -> None:
-        """Write one request with the notifications of the batch that are still to be sent, at once.
+        """Write one request with the unacknowledged notifications of the batch.
 
-        Danger: written in the reactor's next round, they come too late where rounds are long.
+        The write is immediate, because a long reactor iteration could delay it past a deadline.
         """
         self.reader = http.ResponseReader(1 << 16)
         lines = self.sender.unacknowledged
@@ -75,7 +74,7 @@
             self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:
-        """Read the answer to a batch."""
+        """Parse the response to a batch."""
         reader = self.reader
         for event in reader.receive(data) if reader is not None else ():
             match event:
@@ -88,15 +87,15 @@
                     self.sender.on_answer(self, status or 0, False)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Tell the sender that the connection is gone."""
+        """Report the loss of the connection to the sender."""
         self.sender.on_connection_lost(self)
 
 
 class NotificationSender:
     """Sends notifications in order until the platform acknowledges them.
 
-    ``select_sendable`` returns those of some messages that may be notified now, whose results are on disk;
-    ``on_acknowledged`` gets the messages whose notifications the platform has acknowledged.
+    ``select_sendable`` returns those of the given messages whose results are on disk. ``on_acknowledged``
+    receives the messages whose notifications were acknowledged.
     """
 
     def __init__(
@@ -109,32 +108,32 @@
     ) -> None:
         self.network, self.clock, self.address = network, clock, address
         self._select_sendable, self._on_acknowledged = select_sendable, on_acknowledged
-        self.unacknowledged: dict[str, str] = {}  # lines by message; bounded by the messages in the log
+        self.unacknowledged: dict[str, str] = {}  # JSON lines by message id
         self._active: _NotificationConnection | None = None
-        # Without an answer in time, and sent again since; an answer that still comes counts.
+        # Timed out and sent again on another connection; a late acknowledgement still counts.
         self._late: list[_NotificationConnection] = []
         self._idle: _NotificationConnection | None = None
         self._retry_delay_s = MIN_RETRY_DELAY_S
         self._failed_connects = 0  # since the last acknowledgement
         self._answer_timeout_s = MIN_ANSWER_TIMEOUT_S
         self._timer: DelayedCall | None = None
-        self._is_flushable = False  # the timer waits for the end of the turn alone
+        self._is_flushable = False  # the timer waits only for the end of the current reactor iteration
 
     def add(self, result: FinalResult) -> None:
-        """Add the notification of a final result; it leaves with :meth:`flush`, or in the next round."""
+        """Queue the notification of a final result, to be sent by :meth:`flush` or the next iteration."""
         self.unacknowledged[result.message] = encode_notification(result)
         if self._active is None and self._timer is None:
             self._timer = self.clock.callLater(0, self._send_batch)
             self._is_flushable = True
 
     def flush(self) -> None:
-        """Send at once what was added in this turn, if nothing else is being sent."""
+        """Send the notifications added in this reactor iteration, unless a batch is in flight."""
         if self._is_flushable:
             self._clear_timer()
             self._send_batch()
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Send to another address from now on; what is not acknowledged yet goes there at once."""
+        """Send all unacknowledged and future notifications to another address."""
         if address == self.address:
             return
         self.address = address
@@ -178,7 +177,7 @@
         self.network.connectTCP(*self.address, Connector(connection), timeout=CONNECT_TIMEOUT_S)
 
     def on_answer(self, connection: _NotificationConnection, status: int, is_reusable: bool) -> None:
-        """Handle the answer to a batch; ``is_reusable``: the connection may carry another."""
+        """Handle the response to a batch; ``is_reusable`` means that the connection may carry another."""
         if connection in self._late:
             self._late.remove(connection)
             _abort(connection)
@@ -218,8 +217,8 @@
             self._active = None
             self._clear_timer()
             if connection.transport is None and self._failed_connects < MAX_QUICK_CONNECTS:
-                # Danger: a connect that fails at once costs the platform nothing, and with the delays of a
-                # platform that does not answer a notification soon comes too late.
+                # A refused connect costs the platform little, while a longer backoff could delay a
+                # notification past its deadline.
                 self._failed_connects += 1
                 self._retry_delay_s = MIN_RETRY_DELAY_S
             self._schedule_retry("connection_lost", connection.batch)
@@ -246,7 +245,7 @@
 
 
 def _abort(connection: _NotificationConnection) -> None:
-    """Close a connection at once; one that is not up yet is closed when it comes up."""
+    """Abort a connection, or mark it to be aborted once it is established."""
     connection.is_abandoned = True
     if connection.transport is not None:
         connection.transport.abortConnection()
