--- a/honeybarrow/http/__init__.py
+++ b/honeybarrow/http/__init__.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 as bytes in and events out (RFC 9110, RFC 9112), for both sides, without any I/O.
+"""Sans-I/O implementation of HTTP/1.1 (RFC 9110, RFC 9112) for clients and servers.
 
-One strict reader a side. What is sent to us is bounded in every part, and a request that two readers could
-take differently is refused. Standard library only.
+Both parsers are strict and limit the size of every part of a message. Requests that other parsers might
+interpret differently are rejected, to prevent request smuggling.
 """
 
 from honeybarrow.http.client import Complete, Data, Head, InvalidResponse, ResponseReader, encode_request
--- a/honeybarrow/http/client.py
+++ b/honeybarrow/http/client.py
@@ -1,4 +1,4 @@
-"""The calling side: the bytes of a request, and a strict reader of responses."""
+"""Client side of HTTP/1.1: encoding of requests and parsing of responses."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
     parse_length,
 )
 
-MAX_INTERIM_RESPONSES = 8  # responses 1xx before the final one
-MAX_CHUNK_LINE_BYTES = 256  # bytes of the line before a chunk
-_STATUS = re.compile(rb"HTTP/1\.([01]) ([1-5][0-9][0-9])(?: [^\r\n]*)?")
-_NO_BODY = (204, 304)
+MAX_INTERIM_RESPONSES = 8  # 1xx responses before the final one
+MAX_CHUNK_LINE_BYTES = 256  # chunk size and extensions
+_STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-5][0-9][0-9])(?: [^\r\n]*)?")
+_STATUSES_WITHOUT_BODY = (204, 304)
 
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """The head of the response is read."""
+    """Status and header fields of a response; field names are lower case."""
 
     status: int
     fields: dict[bytes, bytes]
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Complete:
-    """The response is complete. ``is_reusable``: the connection can carry another request."""
+    """End of a response; ``is_reusable`` means that the connection can carry another request."""
 
     is_reusable: bool
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidResponse:
-    """The response can't be parsed. ``status``: of its first line, if that much could be parsed."""
+    """Invalid response; ``status`` is set if at least its status line was valid."""
 
     status: int | None
     reason: str
@@ -54,21 +54,24 @@
 
 
 class _Part(enum.Enum):
-    """The part of a response that the reader is in."""
+    """Part of a response that the reader expects next."""
 
     HEAD = "head"
-    LENGTH = "length"  # a body of known length
+    LENGTH = "length"  # a body with Content-Length
     CHUNK_LINE = "chunk line"
     CHUNK = "chunk"
     CHUNK_END = "chunk end"
     TRAILER = "trailer"
-    CLOSE = "close"  # a body that ends with the connection
+    CLOSE = "close"  # a body that ends when the connection closes
     DONE = "done"
     BROKEN = "broken"
 
 
 class ResponseReader:
-    """Reads one. ``max_body_bytes``: bytes of a body with a length or an end; ``None`` for a stream."""
+    """Incremental parser of a single response.
+
+    ``max_body_bytes`` limits the size of the body; ``None`` allows an endless stream.
+    """
 
     def __init__(self, max_body_bytes: int | None = None) -> None:
         self._buffer = bytearray()
@@ -78,7 +81,7 @@
         self._interim_count = 0
         self._max_body_bytes = max_body_bytes
         self._is_reusable = True
-        self.status: int | None = None  # of the first line, as soon as that is whole
+        self.status: int | None = None  # set once the status line of the final response is complete
         self.has_started = False
 
     @property
@@ -88,11 +91,11 @@
 
     @property
     def has_surplus(self) -> bool:
-        """Whether more came than belongs to the response."""
+        """Whether bytes follow the response."""
         return bool(self._buffer)
 
     def receive(self, data: bytes) -> list[Event]:
-        """Parse bytes; the events that they complete."""
+        """Parse received bytes; return the events that they complete."""
         self.has_started = True
         self._buffer += data
         events: list[Event] = []
@@ -104,11 +107,14 @@
         return events
 
     def on_connection_closed(self) -> list[Event]:
-        """The peer has closed: the end of a body without a length, else of a response cut short."""
+        """Return the final events after the peer closed the connection.
+
+        A close ends a body without a length; any other incomplete response is invalid.
+        """
         if self._part is _Part.CLOSE:
             self._part = _Part.DONE
             return [Complete(False)]
-        return [] if self.is_done else [self._fail("cut short")]
+        return [] if self.is_done else [self._fail("connection closed before the end of the response")]
 
     def _fail(self, reason: str) -> InvalidResponse:
         self._part = _Part.BROKEN
@@ -117,7 +123,7 @@
 
     def _finish(self, events: list[Event]) -> bool:
         self._part = _Part.DONE
-        # Danger: bytes behind a response would be read as the response to the next request.
+        # Surplus bytes would be taken for the response to the next request.
         events.append(Complete(self._is_reusable and not self._buffer))
         return False
 
@@ -127,9 +133,9 @@
             raise GrammarError("body too long")
 
     def _step(self, events: list[Event]) -> bool:
-        """Read the part that is due; whether another may be read at once.
+        """Parse the expected part; return whether parsing can continue with the next part.
 
-        :raises GrammarError: for bytes that no response has there, or past a bound.
+        :raises GrammarError: if the part is invalid or exceeds a limit.
         """
         match self._part:
             case _Part.HEAD:
@@ -147,7 +153,7 @@
         return False
 
     def _read_counted(self, events: list[Event]) -> bool:
-        """A body of known length, or a chunk (RFC 9112 6.2, 7.1)."""
+        """Read a body of known length, or a chunk (RFC 9112 6.2, 7.1)."""
         buffer = self._buffer
         part = bytes(buffer[: self._bytes_left])
         del buffer[: len(part)]
@@ -170,7 +176,7 @@
             return False
         size = bytes(buffer[:end]).split(b";")[0].strip()
         if not re.fullmatch(rb"[0-9A-Fa-f]{1,8}", size):
-            raise GrammarError("chunk size is no number")
+            raise GrammarError("chunk size is not a hexadecimal number")
         del buffer[: end + 2]
         self._bytes_left = int(size, 16)
         self._count_body(self._bytes_left)
@@ -182,13 +188,13 @@
         if len(buffer) < 2:
             return False
         if buffer[:2] != b"\r\n":
-            raise GrammarError("chunk without its end")
+            raise GrammarError("chunk is not followed by CRLF")
         del buffer[:2]
         self._part = _Part.CHUNK_LINE
         return True
 
     def _read_trailer(self, events: list[Event]) -> bool:
-        """Trailer fields are passed over (RFC 9112 7.1.2)."""
+        """Skip the trailer fields (RFC 9112 7.1.2)."""
         buffer = self._buffer
         end = buffer.find(b"\r\n", 0, MAX_HEAD_BYTES)
         if end < 0:
@@ -209,42 +215,47 @@
         return False
 
     def _read_head(self, events: list[Event]) -> bool:
-        """The status line and the fields of a response; interim ones (1xx) are passed over."""
-        start = self._match_status_line()
-        if start is None:
+        """Read the status line and header fields; interim (1xx) responses are skipped."""
+        status_line = self._match_status_line()
+        if status_line is None:
             return False
-        interim = start[2][:1] == b"1"
-        if not interim:
-            self.status = int(start[2])
-        fields = self._cut_fields(start.end())
+        is_interim = status_line[2][:1] == b"1"
+        if not is_interim:
+            self.status = int(status_line[2])
+        fields = self._take_fields(status_line.end())
         if fields is None:
             return False
-        if interim:
+        if is_interim:
             self._interim_count += 1
-            if self._interim_count > MAX_INTERIM_RESPONSES or start[2] == b"101":
-                raise GrammarError("interim answers")
+            if self._interim_count > MAX_INTERIM_RESPONSES or status_line[2] == b"101":
+                raise GrammarError("protocol switch or too many interim responses")
             return True
-        self._is_reusable = start[1] == b"1" and b"close" not in fields.get(b"connection", b"").lower()
-        return self._begin_body(int(start[2]), fields, events)
+        self._is_reusable = status_line[1] == b"1" and b"close" not in fields.get(b"connection", b"").lower()
+        return self._begin_body(int(status_line[2]), fields, events)
 
     def _match_status_line(self) -> re.Match[bytes] | None:
-        """The status line (RFC 9112 4), once it is whole."""
+        """Return the match of the status line (RFC 9112 4), or ``None`` if it is incomplete."""
         buffer = self._buffer
-        line = buffer.find(b"\r\n", 0, MAX_HEAD_BYTES)
-        if line < 0:
+        line_end = buffer.find(b"\r\n", 0, MAX_HEAD_BYTES)
+        if line_end < 0:
             if len(buffer) >= MAX_HEAD_BYTES or has_bare_line_feed(buffer):
                 raise GrammarError("not a status line")
             return None
-        start = _STATUS.fullmatch(bytes(buffer[:line]))
-        if start is None:
+        status_line = _STATUS_LINE.fullmatch(bytes(buffer[:line_end]))
+        if status_line is None:
             raise GrammarError("not a status line")
-        return start
+        return status_line
 
-    def _cut_fields(self, line: int) -> dict[bytes, bytes] | None:
-        """Take the head off the buffer, once it is whole; its fields. ``line``: where its first line ends."""
+    def _take_fields(self, line_end: int) -> dict[bytes, bytes] | None:
+        """Remove the head from the buffer and return its fields, or ``None`` if it is incomplete.
+
+        ``line_end`` is the index at which the status line ends.
+        """
         buffer = self._buffer
         end = (
-            line if buffer[line : line + 4] == b"\r\n\r\n" else buffer.find(b"\r\n\r\n", line, MAX_HEAD_BYTES)
+            line_end
+            if buffer[line_end : line_end + 4] == b"\r\n\r\n"
+            else buffer.find(b"\r\n\r\n", line_end, MAX_HEAD_BYTES)
         )
         if end < 0:
             if len(buffer) >= MAX_HEAD_BYTES:
@@ -257,16 +268,16 @@
         return parse_fields(head.split(b"\r\n")[1:])
 
     def _begin_body(self, status: int, fields: dict[bytes, bytes], events: list[Event]) -> bool:
-        """Choose how the body ends (RFC 9112 6.3)."""
+        """Determine the framing of the body (RFC 9112 6.3)."""
         length, encoding = fields.get(b"content-length"), fields.get(b"transfer-encoding")
         if encoding is not None and (length is not None or encoding.lower() != b"chunked"):
-            raise GrammarError("encoding unknown, or with a length")
+            raise GrammarError("unsupported transfer encoding, or combined with a content length")
         if length is not None:
             self._bytes_left = parse_length(length)
-            if status not in _NO_BODY:
+            if status not in _STATUSES_WITHOUT_BODY:
                 self._count_body(self._bytes_left)
         events.append(Head(status, fields))
-        if status in _NO_BODY:
+        if status in _STATUSES_WITHOUT_BODY:
             return self._finish(events)
         if encoding is not None:
             self._part = _Part.CHUNK_LINE
@@ -276,5 +287,5 @@
 
 
 def encode_request(method: str, path: str, fields: str, body: bytes = b"") -> bytes:
-    """One request; ``fields`` are whole lines, each with its line end."""
+    """Return the bytes of a request; ``fields`` are header lines, each ending with CRLF."""
     return f"{method} {path} HTTP/1.1\r\n{fields}\r\n".encode("ascii") + body
--- a/honeybarrow/http/grammar.py
+++ b/honeybarrow/http/grammar.py
@@ -1,4 +1,4 @@
-"""What both sides share of the grammar: field lines (RFC 9112, 5) and their bounds."""
+"""Grammar shared by client and server: header fields (RFC 9112 5) and size limits."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from honeybarrow.errors import HoneybarrowError
 
-MAX_HEAD_BYTES = 8192  # bytes of a head, start line and fields together
-MAX_FIELD_LINES = 64  # field lines of a head
-MAX_BODY_BYTES = 65536  # bytes of a body, by the platform's protocol
+MAX_HEAD_BYTES = 8192  # start line and header fields
+MAX_FIELD_LINES = 64
+MAX_BODY_BYTES = 65536  # defined by the platform's protocol
 
 _FIELD = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+):[ \t]*([^\x00-\x08\x0a-\x1f\x7f]*?)[ \t]*")
-# Danger: of these a second one, or a list, makes two readers disagree on where a body ends or whose it is.
-SINGLE = frozenset((b"content-length", b"transfer-encoding", b"host"))
+# Fields that must not be repeated: parsers could disagree on the body length or the host (request smuggling).
+SINGLETON_FIELDS = frozenset((b"content-length", b"transfer-encoding", b"host"))
 
 
 class GrammarError(HoneybarrowError, ValueError):
@@ -23,9 +23,9 @@
 
 
 def parse_fields(lines: list[bytes]) -> dict[bytes, bytes]:
-    """Field lines by lower-case name; the values of repeated ones are joined with a comma.
+    """Return header field values by lower-case name; repeated fields are joined with a comma.
 
-    :raises GrammarError: for a line that is no field, a folded line, too many, or a doubled length.
+    :raises GrammarError: if a line is invalid or folded, there are too many, or a singleton is repeated.
     """
     if len(lines) > MAX_FIELD_LINES:
         raise GrammarError("too many fields")
@@ -37,7 +37,7 @@
         name, value = match[1].lower(), match[2]
         if name not in fields:
             fields[name] = value
-        elif name in SINGLE:
+        elif name in SINGLETON_FIELDS:
             raise GrammarError(f"{name.decode()} is given twice")
         else:
             fields[name] += b", " + value
@@ -45,12 +45,15 @@
 
 
 def parse_length(value: bytes) -> int:
-    """The value of ``Content-Length``: digits only, and not so many that the number means nothing."""
+    """Return the value of a ``Content-Length`` field.
+
+    :raises GrammarError: if it is not a decimal number of at most 15 digits.
+    """
     if not value.isdigit() or len(value) > 15:
         raise GrammarError("length is no number")
     return int(value)
 
 
 def has_bare_line_feed(data: bytes | bytearray) -> bool:
-    """Whether a line ends without a carriage return, which readers take differently."""
+    """Return whether a line feed is not preceded by a carriage return."""
     return data.count(b"\n") != data.count(b"\r\n")
--- a/honeybarrow/http/server.py
+++ b/honeybarrow/http/server.py
@@ -1,4 +1,4 @@
-"""The receiving side: bytes in, requests or the one error that ends the connection out."""
+"""Server side of HTTP/1.1: parsing of requests and encoding of responses."""
 
 from __future__ import annotations
 
@@ -15,10 +15,8 @@
     parse_length,
 )
 
-MAX_BUFFER_BYTES = (
-    MAX_HEAD_BYTES + MAX_BODY_BYTES
-)  # of what came ahead of a response; reading pauses beyond it
-_START = re.compile(rb"([A-Z]{1,16}) (/[\x21-\x7e]{0,1023}) HTTP/1\.([01])")
+MAX_BUFFER_BYTES = MAX_HEAD_BYTES + MAX_BODY_BYTES  # of pipelined input, beyond which reading pauses
+_REQUEST_LINE = re.compile(rb"([A-Z]{1,16}) (/[\x21-\x7e]{0,1023}) HTTP/1\.([01])")
 REASONS = {
     200: "OK",
     202: "Accepted",
@@ -39,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One whole request. ``closes_connection``: the client wants the connection closed after the response."""
+    """A complete request; ``closes_connection`` means that the connection ends after the response."""
 
     method: str
     path: str
@@ -50,23 +48,23 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidRequest:
-    """The request can't be parsed: respond so and close. Nothing that follows it is read."""
+    """Invalid request, with the status and reason of the response that closes the connection."""
 
     status: int
     reason: str
 
 
 class ReaderState(enum.Enum):
-    """What the reader waits for when it has no event."""
+    """What the reader waits for when no event is available."""
 
-    START = "start"  # nothing of a request has come
-    REST = "rest"  # a part of one has
-    ANSWER = "answer"  # the last one needs its response before the next is read
-    NOTHING = "nothing"  # it has read what can't be read
+    START = "start"  # the first byte of a request
+    REST = "rest"  # the rest of a request
+    ANSWER = "answer"  # the response to the current request
+    NOTHING = "nothing"  # no more input is read after an invalid request
 
 
 class RequestReader:
-    """Reads one request at a time; :meth:`on_response_sent` lets the next one through."""
+    """Incremental parser of requests; :meth:`on_response_sent` releases the next one."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
@@ -75,27 +73,27 @@
         self.state = ReaderState.START
 
     def receive(self, data: bytes) -> None:
-        """Take bytes; after an error they are dropped."""
+        """Add received bytes; they are discarded after an invalid request."""
         if self.state is not ReaderState.NOTHING:
             self._buffer += data
 
     @property
     def is_buffer_full(self) -> bool:
-        """Whether so much came ahead of a response that reading should pause."""
+        """Whether reading should pause because too much pipelined input is buffered."""
         return len(self._buffer) >= MAX_BUFFER_BYTES
 
     @property
     def has_partial_request(self) -> bool:
-        """Whether something of a request has come that is not given out yet."""
+        """Whether input is buffered that was not yet returned as a request."""
         return self._head is not None or bool(self._buffer)
 
     def on_response_sent(self) -> None:
-        """The last request has its response."""
+        """Allow the next request to be read after the response to the current one."""
         if self.state is ReaderState.ANSWER:
             self.state = ReaderState.START
 
     def next_event(self) -> Request | InvalidRequest | None:
-        """The next whole request or error, if one has come."""
+        """Return the next complete request or the error, or ``None`` if more input is needed."""
         if self.state in (ReaderState.ANSWER, ReaderState.NOTHING):
             return None
         try:
@@ -124,7 +122,7 @@
         return Request(method, path, fields, body, close)
 
     def _read_head(self) -> InvalidRequest | None:
-        """Take a whole head off the buffer, and how long its body is; the error if it can't be read."""
+        """Remove a complete head from the buffer and store it; return an error if it is invalid."""
         buffer = self._buffer
         end = buffer.find(b"\r\n\r\n", 0, MAX_HEAD_BYTES)
         if end < 0:
@@ -133,40 +131,40 @@
         if has_bare_line_feed(head):
             return self._reject(400, "bare line feed")
         first, *lines = head.split(b"\r\n")
-        if (start := _START.fullmatch(first)) is None:
+        if (request_line := _REQUEST_LINE.fullmatch(first)) is None:
             return self._reject(400, "not a request line")
         fields = parse_fields(lines)
         if b"transfer-encoding" in fields:
-            # Danger: with a length as well, the body may conceal a second request.
+            # Both framings together could hide a second request in the body (request smuggling).
             both = b"content-length" in fields
             return self._reject(400, "length and encoding") if both else self._reject(411, "length required")
         length = fields.get(b"content-length")
-        if length is None and start[1] == b"POST":
+        if length is None and request_line[1] == b"POST":
             return self._reject(411, "length required")
         self._length = parse_length(length) if length is not None else 0
         if self._length > MAX_BODY_BYTES:
             return self._reject(413, "body too long")
-        close = start[3] == b"0" or b"close" in fields.get(b"connection", b"").lower()
-        self._head = (start[1].decode(), start[2].decode(), fields, close)
+        close = request_line[3] == b"0" or b"close" in fields.get(b"connection", b"").lower()
+        self._head = (request_line[1].decode(), request_line[2].decode(), fields, close)
         del buffer[: end + 4]
         return None
 
     def _check_part_of_head(self) -> InvalidRequest | None:
-        """Reject a head that is invalid though it is not complete yet."""
+        """Return an error if an incomplete head is already invalid."""
         buffer = self._buffer
         if len(buffer) >= MAX_HEAD_BYTES:
             return self._reject(431, "head too long")
         if has_bare_line_feed(buffer):
             return self._reject(400, "bare line feed")
-        line = buffer.find(b"\r\n")
-        if line >= 0 and _START.fullmatch(buffer[:line]) is None:
+        line_end = buffer.find(b"\r\n")
+        if line_end >= 0 and _REQUEST_LINE.fullmatch(buffer[:line_end]) is None:
             return self._reject(400, "not a request line")
         self.state = ReaderState.REST if buffer else ReaderState.START
         return None
 
 
 def encode_response(status: int, fields: str = "", body: bytes = b"", close: bool = False) -> bytes:
-    """One response; ``fields`` are whole lines, each with its line end."""
+    """Return the bytes of a response; ``fields`` are header lines, each ending with CRLF."""
     ending = "Connection: close\r\n" if close else ""
     reason = REASONS.get(status, "")
     head = f"HTTP/1.1 {status} {reason}\r\n{fields}Content-Length: {len(body)}\r\n{ending}\r\n"
@@ -174,7 +172,7 @@
 
 
 def with_connection_close(response: bytes) -> bytes:
-    """The same response with ``Connection: close``."""
+    """Return a response with ``Connection: close`` added, unless it is present."""
     head, end, body = response.partition(b"\r\n\r\n")
-    told = b"\r\nconnection: close\r\n" in head.lower() + b"\r\n"
-    return response if told else head + b"\r\nConnection: close" + end + body
+    has_close = b"\r\nconnection: close\r\n" in head.lower() + b"\r\n"
+    return response if has_close else head + b"\r\nConnection: close" + end + body
--- a/honeybarrow/node/clock_monitor.py
+++ b/honeybarrow/node/clock_monitor.py
@@ -1,4 +1,4 @@
-"""Detects steps of the wall clock by comparing it with the monotonic clock."""
+"""Detection of wall-clock steps by comparison with the monotonic clock."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 from honeybarrow.clocks import Clocks
 
-MIN_STEP_US = 100_000  # smaller differences are adjustments of a clock that is kept in time
+MIN_STEP_US = 100_000  # smaller differences are gradual clock adjustments
 log = logging.getLogger("honeybarrow.node")
 
 
 class ClockMonitor:
-    """Compares the clocks at each :meth:`check`; nothing but the log depends on the outcome."""
+    """Logs steps of the wall clock at each :meth:`check`."""
 
     def __init__(self, clocks: Clocks) -> None:
         self._clocks = clocks
         self._difference_us = self._read_difference_us()
-        self.step_count = 0  # since the start
+        self.step_count = 0
 
     def check(self) -> None:
-        """Log a step of the wall clock since the last check."""
+        """Log a step of the wall clock since the previous check."""
         difference_us = self._read_difference_us()
         step_us = difference_us - self._difference_us
         if abs(step_us) < MIN_STEP_US:
--- a/honeybarrow/node/config.py
+++ b/honeybarrow/node/config.py
@@ -1,4 +1,4 @@
-"""Configuration of a forwarder on the platform: ``ROUTER_*`` and the file that they name, validated."""
+"""Configuration of a platform forwarder, read from ``ROUTER_*`` variables and a JSON file."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from honeybarrow.settings import Settings, validate_settings
 from honeybarrow.wire_settings import parse_settings
 
-MAX_CONFIG_BYTES = 8 << 20  # of the file; the rest is not read
+MAX_CONFIG_BYTES = 8 << 20
 
 
 class ConfigError(HoneybarrowError, ValueError):
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourceLimits:
-    """What the platform allows one forwarder."""
+    """Resource limits that the platform sets for a forwarder."""
 
     descriptors: int
     disk_bytes: int
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwarderConfig:
-    """The configuration as it was read once."""
+    """Validated configuration of a platform forwarder."""
 
     name: str
     listen_address: SocketAddress
@@ -45,15 +45,15 @@
     settings: Settings
 
 
-def _require_text(value: Any, what: str) -> str:
+def _require_text(value: Any, label: str) -> str:
     if not isinstance(value, str) or not value:
-        raise ConfigError(f"{what} is missing or no text")
+        raise ConfigError(f"{label} is missing or not a non-empty string")
     return value
 
 
-def _require_address(value: Any, what: str) -> SocketAddress:
+def _require_address(value: Any, label: str) -> SocketAddress:
     try:
-        return parse_address(_require_text(value, what), what)
+        return parse_address(_require_text(value, label), label)
     except ValueError as error:
         raise ConfigError(str(error)) from None
 
@@ -61,42 +61,42 @@
 def _positive_number(values: Mapping[str, Any], key: str, default: float) -> float:
     value = values.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not value > 0:
-        raise ConfigError(f"limits.{key} is no number above 0")
+        raise ConfigError(f"limits.{key} is not a positive number")
     return float(value)
 
 
 def parse_config(text: str, environ: Mapping[str, str]) -> ForwarderConfig:
-    """Parse the file's text, with what it lacks from the environment.
+    """Parse the text of the configuration file; missing values come from the environment.
 
-    :raises ConfigError: for what can't be used; its text names the part.
+    :raises ConfigError: if a value is missing or invalid.
     """
     try:
-        top = json.loads(text)
+        values = json.loads(text)
     except ValueError as error:
         raise ConfigError(f"the file is not JSON: {error}") from None
-    if not isinstance(top, dict):
-        raise ConfigError("the file holds no object")
-    limits, seed = top.get("limits", {}), top.get("seed", "0")
+    if not isinstance(values, dict):
+        raise ConfigError("the file does not contain a JSON object")
+    limits, seed = values.get("limits", {}), values.get("seed", "0")
     if not isinstance(limits, dict):
-        raise ConfigError("limits is no object")
+        raise ConfigError("limits is not an object")
     try:
         number = int(str(seed), 16)
     except ValueError:
-        raise ConfigError("seed is no hexadecimal number") from None
+        raise ConfigError("seed is not a hexadecimal number") from None
     try:
-        settings = parse_settings(top.get("settings"))
+        settings = parse_settings(values.get("settings"))
         validate_settings(settings)
     except ValueError as error:
         raise ConfigError(f"settings: {error}") from None
     try:
-        known = parse_endpoint_list(top.get("known") or {"index": 0, "snapshot": True, "endpoints": []})
+        saved = parse_endpoint_list(values.get("known") or {"index": 0, "snapshot": True, "endpoints": []})
     except ValueError as error:
         raise ConfigError(f"known: {error}") from None
     return ForwarderConfig(
-        name=_require_text(top.get("name") or environ.get("ROUTER_NAME"), "name"),
-        listen_address=_require_address(top.get("listen") or environ.get("ROUTER_LISTEN"), "listen"),
+        name=_require_text(values.get("name") or environ.get("ROUTER_NAME"), "name"),
+        listen_address=_require_address(values.get("listen") or environ.get("ROUTER_LISTEN"), "listen"),
         discovery_address=_require_address(
-            top.get("discovery") or environ.get("ROUTER_DISCOVERY"), "discovery"
+            values.get("discovery") or environ.get("ROUTER_DISCOVERY"), "discovery"
         ),
         state_folder=_require_text(environ.get("ROUTER_STATE"), "ROUTER_STATE"),
         seed=number,
@@ -104,15 +104,15 @@
             int(_positive_number(limits, "sockets", 1024)),
             int(_positive_number(limits, "disk_mb", 3.0) * 1_000_000),
         ),
-        saved_list=known,
+        saved_list=saved,
         settings=settings,
     )
 
 
 def read_config(environ: Mapping[str, str]) -> ForwarderConfig:
-    """Read the file that ``ROUTER_CONFIG`` names.
+    """Read the file named by ``ROUTER_CONFIG``.
 
-    :raises ConfigError: if it can't be read or used.
+    :raises ConfigError: if the file can't be read or is invalid.
     """
     path = _require_text(environ.get("ROUTER_CONFIG"), "ROUTER_CONFIG")
     try:
--- a/honeybarrow/node/event_log.py
+++ b/honeybarrow/node/event_log.py
@@ -1,4 +1,4 @@
-"""Logging of the platform process: the core's events through the standard library, and the status line."""
+"""Logging of the platform process: events of the forwarder, and a periodic status line."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 from honeybarrow.ports import Clock
 
 STATUS_INTERVAL_S = 10.0
-LAG_CHECK_INTERVAL_S = 0.1  # between two measurements of how late the reactor is
+LAG_CHECK_INTERVAL_S = 0.1  # between measurements of the reactor's lag
 _OPTIONAL_FIELDS = frozenset(("code", "retry_after_us", "reason"))
 log = logging.getLogger("honeybarrow.node")
 
 
 class EventLog:
-    """The core's logger on the standard library's; events of single messages go to ``message_events``."""
+    """Logger of the forwarder, based on :mod:`logging`; events of messages go to ``message_events``."""
 
     def __init__(self, message_events: MessageEventLog) -> None:
         self.message_events = message_events
 
     def debug(self, event: str, **fields: Any) -> None:
-        """Write the end of an attempt that failed, and nothing else."""
+        """Write a failed attempt; other events of this level are ignored."""
         if event == "attempt_finished" and fields["status"] != AttemptStatus.OK.value:
             self.message_events.write("attempt_failed", **_without_defaults(fields))
 
     def info(self, event: str, **fields: Any) -> None:
-        """Write an event, but none of a message that was delivered at its first attempt."""
+        """Write an event, except the delivery of a message at its first attempt."""
         if event == "message_delivered" and fields["attempts"] <= 1:
             return
         if "message" in fields:
@@ -43,24 +43,24 @@
             log.info("%s %s", event, fields)
 
     def warning(self, event: str, **fields: Any) -> None:
-        """Write an event."""
+        """Write an event at warning level; an event of a message goes to ``message_events``."""
         if "message" in fields:
             self.message_events.write(event, **_without_defaults(fields))
         else:
             log.warning("%s %s", event, fields)
 
     def error(self, event: str, **fields: Any) -> None:
-        """Write an event."""
+        """Write an event at error level."""
         log.error("%s %s", event, fields)
 
 
 def _without_defaults(fields: dict[str, Any]) -> dict[str, Any]:
-    """Leave out what has nothing to say: no code, no wait, no reason."""
+    """Return the fields without optional ones that are empty or zero."""
     return {name: value for name, value in fields.items() if name not in _OPTIONAL_FIELDS or value}
 
 
 class StatusLog:
-    """Writes a line of counters every ten seconds, with the worst lateness of the reactor since the last."""
+    """Writes a periodic line of counters, with the maximum lag of the reactor since the previous line."""
 
     def __init__(
         self,
@@ -84,7 +84,7 @@
         self._lag_checked_at_s = 0.0
 
     def start(self) -> None:
-        """Begin to measure and to write."""
+        """Start the measurements and the periodic line."""
         self._lag_checked_at_s = self.clock.seconds()
         self.clock.callLater(LAG_CHECK_INTERVAL_S, self._check_lag)
         self.clock.callLater(STATUS_INTERVAL_S, self._log_status)
--- a/honeybarrow/node/log_format.py
+++ b/honeybarrow/node/log_format.py
@@ -1,4 +1,4 @@
-"""The form of a log line: wall time for people, and monotonic time for what is reckoned from it."""
+"""Log line format with wall-clock time and monotonic time."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class TwoClockFormatter(logging.Formatter):
-    """Formats a line with the time of both clocks, so that a step of the wall clock shows."""
+    """Formats a line with the time of both clocks, so that steps of the wall clock are visible."""
 
     def __init__(self) -> None:
         super().__init__(LINE_FORMAT, TIME_FORMAT)
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line; the monotonic time is in seconds."""
+        """Format a record, with the monotonic time in seconds."""
         record.monotonic = f"{time.monotonic():.3f}"
         return super().format(record)
--- a/honeybarrow/node/message_event_log.py
+++ b/honeybarrow/node/message_event_log.py
@@ -1,9 +1,8 @@
-"""Log lines of single messages: what happened to one on the way to any end but a plain delivery.
+"""Rate-limited log lines about single messages.
 
-A message that is delivered at its first attempt leaves no line. All others leave one for each step, with the
-id, the attempt, the endpoint, the state before and after, the reason and the time left. The rate of lines of
-each event is bounded; what is suppressed is counted and reported. What a client names besides the id is never
-logged.
+A message that is delivered at its first attempt is not logged. Any other message has a line for each step,
+with its id, the attempt, the endpoint, the states before and after, the reason and the time left. The rate of
+each event is limited, and suppressed lines are counted. Of the client's data only the id is logged.
 """
 
 from __future__ import annotations
@@ -13,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-MAX_LINES_PER_S = 20.0  # of one event
+MAX_LINES_PER_S = 20.0  # of each event
 MAX_BURST_LINES = 200.0
 _FIELD_NAMES = {"target": "endpoint"}
 _MICROSECOND_SUFFIX = "_us"
@@ -21,17 +20,17 @@
 
 
 @dataclass(slots=True)
-class _LineBudget:
-    """Lines of one event that may be written now, as a token bucket."""
+class _TokenBucket:
+    """Rate limiter of the lines of one event."""
 
     available: float
     refilled_s: float
-    suppressed_count: int = 0  # since the last line
+    suppressed_count: int = 0  # since the last written line
 
     def take(self, now_s: float) -> bool:
-        """Take one line; whether there was one."""
-        earned = (now_s - self.refilled_s) * MAX_LINES_PER_S
-        self.available, self.refilled_s = min(MAX_BURST_LINES, self.available + earned), now_s
+        """Take a token; return whether one was available."""
+        refill = (now_s - self.refilled_s) * MAX_LINES_PER_S
+        self.available, self.refilled_s = min(MAX_BURST_LINES, self.available + refill), now_s
         if self.available < 1.0:
             self.suppressed_count += 1
             return False
@@ -40,27 +39,28 @@
 
 
 class MessageEventLog:
-    """Writes one line for each event of a message, at a bounded rate.
+    """Writes one line for each event of a message, at a limited rate.
 
-    ``clock_s``: a monotonic clock in seconds.
+    ``clock_s`` returns a monotonic time in seconds. ``incarnation`` identifies the process among those that
+    used the same state folder.
     """
 
     def __init__(self, clock_s: Callable[[], float], incarnation: str = "") -> None:
         self._clock_s = clock_s
-        self.incarnation = incarnation  # names this process among those that used the same state folder
-        self._budgets: dict[str, _LineBudget] = {}  # by event, whose names the program gives
+        self.incarnation = incarnation
+        self._buckets: dict[str, _TokenBucket] = {}  # by event name
 
     def write(self, event: str, message: str, **fields: Any) -> None:
-        """Write an event of a message; durations in microseconds are written in milliseconds."""
+        """Write an event of a message; durations in microseconds are converted to milliseconds."""
         now_s = self._clock_s()
-        budget = self._budgets.get(event)
-        if budget is None:
-            budget = self._budgets[event] = _LineBudget(MAX_BURST_LINES, now_s)
-        if not budget.take(now_s):
+        bucket = self._buckets.get(event)
+        if bucket is None:
+            bucket = self._buckets[event] = _TokenBucket(MAX_BURST_LINES, now_s)
+        if not bucket.take(now_s):
             return
-        if budget.suppressed_count:
-            log.info("message_events_suppressed event=%s count=%d", event, budget.suppressed_count)
-            budget.suppressed_count = 0
+        if bucket.suppressed_count:
+            log.info("message_events_suppressed event=%s count=%d", event, bucket.suppressed_count)
+            bucket.suppressed_count = 0
         details = " ".join(_format_field(name, value) for name, value in fields.items() if value is not None)
         log.info("%s id=%s incarnation=%s %s", event, message, self.incarnation, details)
 
--- a/honeybarrow/node/rate_limited_log.py
+++ b/honeybarrow/node/rate_limited_log.py
@@ -1,24 +1,24 @@
-"""Log lines about unusable input from outside: each with its remedy, and limited in rate."""
+"""Rate-limited warnings about invalid external input."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable
 
-INTERVAL_S = 10.0  # between two lines of one kind; what comes between them is counted
-MAX_KINDS = 64  # kinds that are told apart; all others count as one
+INTERVAL_S = 10.0  # minimum time between two lines of one kind
+MAX_KINDS = 64  # further kinds share one limit
 log = logging.getLogger("honeybarrow.node")
 
 
 class RateLimitedLog:
-    """Logs each kind of event at once, and then at most every ten seconds with the number suppressed."""
+    """Logs the first event of each kind, then at most one per interval with the number suppressed."""
 
     def __init__(self, clock_s: Callable[[], float]) -> None:
         self.clock_s = clock_s
-        self._kinds: dict[str, tuple[float, int]] = {}  # time of the last line, and events suppressed since
+        self._kinds: dict[str, tuple[float, int]] = {}  # time of the last line, number suppressed since
 
     def warn(self, kind: str, detail: str, remedy: str) -> None:
-        """Log one more event of a kind, or count it; ``detail`` is that of the event that is logged."""
+        """Log an event of a kind, or count it as suppressed."""
         if kind not in self._kinds and len(self._kinds) >= MAX_KINDS:
             kind = "other"
         now = self.clock_s()
--- a/honeybarrow/node/request_parser.py
+++ b/honeybarrow/node/request_parser.py
@@ -1,4 +1,4 @@
-"""Parses a client's request into a message to submit, or into the reason of its rejection. No I/O."""
+"""Parsing and validation of HTTP submissions from clients. Does no I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from honeybarrow.http import Request
 from honeybarrow.settings import Idempotency, MessageClass
 
-# One word without a comma: a repeated field is joined by commas and must not pass for one value.
+# Excludes the comma, because repeated header fields are joined with commas.
 _MESSAGE_ID = re.compile(rb"[\x21-\x2b\x2d-\x7e]{1,128}")
 MAX_ORDER_KEY_LENGTH = 128
 _TIME_LEFT = re.compile(rb"([0-9]{1,12})([mu])")
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmittedMessage:
-    """A message as a client submits it; ``time_left_us`` counts from the parsing of the request."""
+    """A submitted message; ``time_left_us`` is relative to the time at which the request was parsed."""
 
     message: str
     class_name: str
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectedRequest:
-    """The status of the answer to an invalid request, and the reason for people."""
+    """Response status for an invalid request, with a human-readable reason."""
 
     status: int
     reason: str
@@ -42,7 +42,7 @@
 def parse_submission(
     request: Request, classes: Mapping[str, MessageClass], tenants: Mapping[str, object]
 ) -> SubmittedMessage | RejectedRequest:
-    """Parse a ``POST`` of one message and check it against the settings."""
+    """Parse the ``POST`` request of a message and check it against the settings."""
     fields = request.fields
     message = fields.get(b"x-correlation-id", b"")
     if not _MESSAGE_ID.fullmatch(message):
@@ -79,7 +79,7 @@
 
 
 def _path_parts(path: str) -> list[str]:
-    """Return the parts of a path behind its first slash, without the query."""
+    """Return the segments of a path, without the query."""
     return path.split("?")[0].split("/")[1:]
 
 
@@ -113,6 +113,6 @@
 
 
 def _parse_order_key(path: str, message_class: MessageClass) -> str:
-    """Return the second part of the path, by which clients name the order key of an ordered class."""
+    """Return the second segment of the path, the order key of an ordered class."""
     _, *rest = _path_parts(path)
     return rest[0] if rest and message_class.is_ordered else ""
--- a/honeybarrow/node/sockets.py
+++ b/honeybarrow/node/sockets.py
@@ -1,4 +1,4 @@
-"""Operations on a transport's socket: writing at once, looking at unread input, orderly ends."""
+"""Operations on the socket of a Twisted transport: immediate writes, peeking at input, orderly shutdown."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 def write_now(transport: Any, data: bytes) -> bool:
-    """Write at once, if nothing waits to be written; whether the system has taken all of it.
+    """Write data without waiting for the reactor; return whether the operating system took all of it.
 
-    What does not fit goes through the transport's buffer. A transport without a socket, as tests have,
-    buffers all of it.
+    Data that does not fit, or that follows buffered data, goes to the transport's buffer. A transport without
+    a socket, as used in tests, counts as having written all of it.
 
     :raises OSError: if the connection is broken and nothing was written.
     """
-    own: socket.socket | None = getattr(transport, "socket", None)
-    if own is None or transport.dataBuffer or transport._tempDataBuffer:
+    sock: socket.socket | None = getattr(transport, "socket", None)
+    if sock is None or transport.dataBuffer or transport._tempDataBuffer:
         transport.write(data)
-        return own is None
+        return sock is None
     try:
-        written = own.send(data)
+        written = sock.send(data)
     except BlockingIOError:
         written = 0
     except OSError as error:
@@ -34,29 +34,29 @@
 
 
 def has_unwritten_bytes(transport: Any) -> bool:
-    """Return whether bytes wait in the transport's buffer."""
+    """Return whether the transport has buffered output."""
     return bool(getattr(transport, "dataBuffer", b"") or getattr(transport, "_tempDataBuffer", []))
 
 
 def has_unread_bytes(transport: Any) -> bool:
-    """Return whether bytes have come that were not read yet. The peer's end of stream alone is none.
+    """Return whether received bytes are unread; the end of the stream does not count.
 
-    A look that fails for a moment counts as a yes: what is there must not be lost.
+    Returns True on a transient error, so that input is never lost.
     """
-    own: socket.socket | None = getattr(transport, "socket", None)
-    if own is None:
+    sock: socket.socket | None = getattr(transport, "socket", None)
+    if sock is None:
         return False
     try:
-        return bool(own.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
+        return bool(sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
     except OSError as error:
         return error.errno in TRANSIENT_ERRNOS
 
 
 def half_close(transport: Any) -> None:
-    """End our sending, at once if nothing waits to be written.
+    """Shut down the sending side, immediately if no output is buffered.
 
-    Danger: done one reactor iteration later, what comes in between is read before the end of stream that its
-    sender sees, and is neither answered nor known to be unread.
+    Deferring it to the next reactor iteration would let a request be read that is then neither answered nor
+    known to be unread.
     """
     transport.loseWriteConnection()
     if getattr(transport, "socket", None) is not None and not has_unwritten_bytes(transport):
@@ -64,7 +64,7 @@
 
 
 def close_now(transport: Any) -> None:
-    """Close and release the descriptor at once; with a reset only where the answer can't be written."""
+    """Close the connection at once, with a reset only if buffered output remains."""
     half_close(transport)
     if has_unwritten_bytes(transport):
         transport.abortConnection()
@@ -73,12 +73,12 @@
 
 
 def is_open_and_quiet(transport: Any) -> bool:
-    """Return whether the peer has neither closed a keep-alive connection nor sent anything on it."""
-    own: socket.socket | None = getattr(transport, "socket", None)
-    if own is None:
+    """Return whether a keep-alive connection is open and has no unread input."""
+    sock: socket.socket | None = getattr(transport, "socket", None)
+    if sock is None:
         return True
     try:
-        own.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+        sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
         return True
     except OSError:
