--- a/tests/test_call_endings.py
+++ b/tests/test_call_endings.py
@@ -1,6 +1,6 @@
-"""Calls that end, and whether they may have run: each crossing forced on loopback sockets.
+"""Every way in which a call can end, and whether it may have run, on loopback sockets.
 
-The table of endings in ``docs/node.md`` names these tests row by row.
+``docs/node.md`` refers to these tests by name.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 @pytest.fixture
 def rig(tmp_path: Path) -> Iterator[Rig]:
-    own = Rig(tmp_path)
-    yield own
-    own.close()
+    fixture = Rig(tmp_path)
+    yield fixture
+    fixture.close()
 
 
 @pytest.mark.parametrize(
@@ -64,9 +64,9 @@
 def test_a_response_in_small_pieces_is_read_and_its_connection_reused(rig: Rig, size: int) -> None:
     rig.submit("m1")
     call = rig.read_call()
-    answer = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"
-    for at in range(0, len(answer), size):
-        call.write(answer[at : at + size])
+    response = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"
+    for offset in range(0, len(response), size):
+        call.write(response[offset : offset + size])
         rig.run_turns(1)
     assert rig.process.forwarder.counters.delivered == 1 and rig.process.pool.idle_count == 1
 
@@ -99,15 +99,15 @@
     client = rig.connect_client()
     client.write(rig.request("m3", left_ms=9000))
     for _ in range(5):
-        if not rig.process.forwarder.is_known("m3"):  # it is read, and decided on in the next turn
+        if not rig.process.forwarder.is_known("m3"):  # the decision follows in the next turn
             rig.run_turns()
     if not is_kept:
-        rig.run_turns()  # its connection comes up in the next turn
+        rig.run_turns()  # the connection is established in the next turn
         assert rig.process.pool.connects_started == 3
     assert rig.count_calls("m3") == 0
     rejected.write(b"HTTP/1.1 429 No\r\nX-Come-Back-Ms: 900\r\nContent-Length: 0\r\n\r\n")
     rejected_at = rig.now_s
-    rig.now_s += 0.15  # the rest of this turn is spent on clients
+    rig.now_s += 0.15  # simulates a long turn
     rig.advance_until(lambda: rig.count_calls("m3"))
     assert rig.now_s >= rejected_at + 0.9
     assert rig.process.forwarder.counters.outcomes["full"] == 1
@@ -149,49 +149,49 @@
     call = rig.read_call()
     connection = next(each.protocol for each in rig.reactor.getReaders() if hasattr(each, "protocol")
                       and getattr(each.protocol, "call", None) is not None)  # fmt: skip
-    late = connection.call.timer.getTime()
+    timeout_at_s = connection.call.timer.getTime()
     call.write(OK if whole else b"HTTP/1.1 200 OK\r\n")
-    rig.now_s = late + 0.001  # timers come first in a turn, then sockets
+    rig.now_s = timeout_at_s + 0.001  # timers run before sockets in a turn
     rig.run_turns(4)
     assert (
         rig.process.forwarder.counters.outcomes == {"ok": 1} and rig.process.forwarder.counters.delivered == 1
     )
-    assert sum(rig.process.pool.keep_alive._calls) == 1  # the keep-alive policy counts it too
+    assert sum(rig.process.pool.keep_alive._calls) == 1
 
 
 @pytest.mark.parametrize(
     ("when", "how", "calls", "delivered"),
-    [("before the look", "end", 1, 2), ("behind the look", "reset", 1, 2), ("behind the look", "end", 0, 1)],
+    [("before the check", "end", 1, 2), ("after the check", "reset", 1, 2), ("after the check", "end", 0, 1)],
 )
 def test_a_keep_alive_connection_that_its_endpoint_closes_as_a_call_is_written(
     rig: Rig, monkeypatch: Any, when: str, how: str, calls: int, delivered: int
 ) -> None:
-    """Whether it may have run is known from what the system took, and not guessed."""
+    """The call may have run only if the operating system took the whole request."""
     rig.submit("m0")
     first = rig.read_call()
     first.write(OK)
     rig.advance_until(lambda: rig.process.pool.idle_count == 1)
     real = is_open_and_quiet
 
-    def end_behind(transport: Any) -> bool:
-        good = real(transport)
+    def close_after_check(transport: Any) -> bool:
+        is_usable = real(transport)
         first.reset() if how == "reset" else first.close()
-        return good
+        return is_usable
 
-    if when == "before the look":
+    if when == "before the check":
         first.close()
     else:
-        monkeypatch.setattr(http_connection_pool, "is_open_and_quiet", end_behind)
+        monkeypatch.setattr(http_connection_pool, "is_open_and_quiet", close_after_check)
     rig.submit("p1", "pay")
     monkeypatch.undo()
     if calls:
-        again = rig.read_call("p1")
-        assert again is not first
-        again.write(OK)
+        second = rig.read_call("p1")
+        assert second is not first
+        second.write(OK)
         rig.advance_until(lambda: rig.process.forwarder.counters.delivered == delivered)
         assert rig.receive_notifications() == []
         return
-    # The system took all of it, so it may have run; who reads it, nobody can tell.
+    # The operating system took the whole request, so the call may have run.
     rig.advance_until(lambda: rig.receive_notifications())
     assert rig.receive_notifications()[0] == {"message": "p1", "outcome": "given_up"}
     assert rig.process.forwarder.counters.outcomes == {"ok": 1, "reset": 1}
@@ -200,9 +200,9 @@
 def test_a_connection_established_after_its_timeout_is_not_used(tmp_path: Path) -> None:
     rig = Rig(tmp_path, connect_timeout_us=1_000_000)
     listener = rig.target.listener
-    full = [socket.socket() for _ in range(130)]
+    pending = [socket.socket() for _ in range(130)]
     listener.listen(0)
-    for each in full:  # its queue is full, so that connects stay half open
+    for each in pending:  # fills the accept queue, so that further connects stay half open
         each.setblocking(False)
         each.connect_ex(listener.getsockname())
     rig.submit("p1", "pay", left_ms=2500)
@@ -214,6 +214,6 @@
         rig.run_turns(3)
         for connection in rig.target.accept_connections():
             assert b"p1" not in connection.read()
-    for each in full:
+    for each in pending:
         each.close()
     rig.close()
--- a/tests/test_platform_calls.py
+++ b/tests/test_platform_calls.py
@@ -1,4 +1,4 @@
-"""Calls to endpoints over HTTP: outcomes, connections, keep-alive; in simulated time and without sockets."""
+"""HTTP calls to endpoints: outcomes, connections and keep-alive, in simulated time without sockets."""
 
 from __future__ import annotations
 
@@ -39,11 +39,11 @@
         (400, {}, AttemptOutcome(Status.ERROR, reason="400")),
     ],
 )
-def test_the_outcome_table(status: int, fields: dict[bytes, bytes], outcome: AttemptOutcome) -> None:
+def test_responses_map_to_outcomes(status: int, fields: dict[bytes, bytes], outcome: AttemptOutcome) -> None:
     assert classify_response(status, fields, ()) == outcome
 
 
-def test_a_load_report_is_parsed_whole_or_not_at_all() -> None:
+def test_a_load_report_with_an_invalid_field_is_ignored() -> None:
     assert parse_load_report(b'{"x1":25,"x0":0.4}', ("x0", "x1")) == (0.4, 25.0)
     for bad in (b"", b"{", b'{"x0":1}', b'{"x0":"a","x1":1}', b'{"x0":NaN,"x1":1}', b"[1]", b"[" * 900):
         assert parse_load_report(bad, ("x0", "x1")) == ()
@@ -55,8 +55,8 @@
     connection, transport = calls.connect()
     sent = transport.value()
     assert sent.startswith(b"POST /v1/messages HTTP/1.1\r\n") and sent.endswith(b"\r\n\r\nbody")
-    told = (b"X-Correlation-Id: m1", b"Idempotency-Key: k1", b"X-Time-Left: 3000m", b"Content-Length: 4")
-    assert all(line in sent.split(b"\r\n") for line in told)
+    headers = (b"X-Correlation-Id: m1", b"Idempotency-Key: k1", b"X-Time-Left: 3000m", b"Content-Length: 4")
+    assert all(line in sent.split(b"\r\n") for line in headers)
     connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
     calls.call()
     assert len(calls.clock.tcpClients) == 1 and calls.pool.idle_count == 0
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "status", "kept"),
+    ("data", "status", "is_kept"),
     [
         (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nnoise", Status.OK, False),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx", Status.OK, False),
@@ -77,14 +77,14 @@
     ],
 )
 def test_an_invalid_response_is_ambiguous_unless_its_status_line_says_200(
-    data: bytes, status: Status, kept: bool
+    data: bytes, status: Status, is_kept: bool
 ) -> None:
     calls = CallBench()
     calls.call()
     connection, _ = calls.connect()
     connection.dataReceived(data)
     assert [outcome.status for outcome in calls.outcomes] == [status]
-    assert (calls.pool.idle_count == 1) == kept and connection.is_closed != kept
+    assert (calls.pool.idle_count == 1) == is_kept and connection.is_closed != is_kept
 
 
 def test_a_200_without_the_rest_of_its_response_is_delivered_and_its_connection_closed() -> None:
@@ -97,7 +97,7 @@
     assert connection.is_closed
 
 
-def test_the_point_of_a_connection_loss_says_whether_the_call_may_have_run() -> None:
+def test_only_a_connection_lost_after_the_connect_may_have_run_the_call() -> None:
     refused, lost = Failure(twisted_error.ConnectionRefusedError()), Failure(twisted_error.ConnectionLost())
     calls = CallBench()
     calls.call()
@@ -119,7 +119,7 @@
 def test_a_call_that_times_out_closes_its_connection() -> None:
     calls = CallBench()
     calls.call()
-    calls.clock.advance(1.0)  # never up
+    calls.clock.advance(1.0)  # connect timeout
     calls.call()
     connection, transport = calls.connect()
     calls.clock.pump([0.5] * 6)
@@ -142,7 +142,7 @@
     )
 
 
-def test_a_call_whose_permit_is_gone_when_its_connection_is_up_has_not_run() -> None:
+def test_a_call_whose_permit_is_withdrawn_during_the_connect_has_not_run() -> None:
     calls = CallBench()
     calls.call()
     calls.permit.reason = "too late to start"
@@ -153,8 +153,8 @@
     ]
 
 
-@pytest.mark.parametrize("through", [True, False])
-def test_a_last_byte_without_buffer_space_in_time_is_never_written(through: bool) -> None:
+@pytest.mark.parametrize("is_written", [True, False])
+def test_a_last_byte_without_buffer_space_in_time_is_never_written(is_written: bool) -> None:
     calls = CallBench()
     calls.permit.left_us = SECOND
     calls.call()
@@ -166,22 +166,22 @@
     transport.abortConnection = lambda: None
     connection.makeConnection(transport)
     assert transport._tempDataBuffer != []
-    if through:
-        transport._tempDataBuffer.clear()  # the system has taken it meanwhile
+    if is_written:
+        transport._tempDataBuffer.clear()  # the operating system has taken the data
     calls.clock.advance(1.0)
-    assert connection.is_closed != through
+    assert connection.is_closed != is_written
     calls.clock.advance(2.0)
-    assert [(o.status, o.not_run) for o in calls.outcomes] == [(Status.TIMEOUT, not through)]
+    assert [(o.status, o.not_run) for o in calls.outcomes] == [(Status.TIMEOUT, not is_written)]
 
 
 def test_a_keep_alive_connection_closes_on_unexpected_input_or_after_its_idle_timeout() -> None:
     calls = CallBench()
-    for unasked in (True, False):
+    for is_unsolicited in (True, False):
         calls.call()
         connection, _ = calls.connect()
         connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         assert calls.pool.idle_count == 1
-        if unasked:
+        if is_unsolicited:
             connection.dataReceived(b"HTTP/1.1 200 OK\r\n")
         else:
             calls.clock.pump([0.5] * 17)
@@ -204,17 +204,17 @@
     calls.call()
     connection, _ = calls.connect()
     connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-    parcel = HttpPayload("m2", "", b"", 0, Idempotency.NON_IDEMPOTENT)
+    payload = HttpPayload("m2", "", b"", 0, Idempotency.NON_IDEMPOTENT)
     calls.clock.advance(0.01)
-    calls.pool.call("a", [("127.0.0.1", 9)], parcel, SECOND, FakePermit())
+    calls.pool.call("a", [("127.0.0.1", 9)], payload, SECOND, FakePermit())
     assert len(calls.clock.tcpClients) == 2 and calls.pool.idle_count == 1
 
 
 def test_the_pool_distinguishes_losses_before_a_response_from_invalid_responses() -> None:
     calls = CallBench()
-    told: list[tuple[int | None, bool]] = []
+    recorded: list[tuple[int | None, bool]] = []
     keep_alive: Any = calls.pool.keep_alive
-    keep_alive.record_call = lambda now, idle, lost: told.append((idle, lost))
+    keep_alive.record_call = lambda now, idle, lost: recorded.append((idle, lost))
     calls.call()
     connection, _ = calls.connect()
     connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -224,7 +224,7 @@
     calls.call()
     connection, _ = calls.connect()
     connection.dataReceived(b"noise\r\n\r\n")
-    assert told == [(None, False), (250_000, True), (None, False)]
+    assert recorded == [(None, False), (250_000, True), (None, False)]
 
 
 def test_calls_evict_idle_connections_and_none_starts_without_a_descriptor() -> None:
