--- a/tests/live.py
+++ b/tests/live.py
@@ -1,4 +1,4 @@
-"""Real loopback sockets for tests: a reactor in a thread, and partners that follow a script."""
+"""Test support for loopback sockets: a reactor in a thread, scripted partners and a whole forwarder."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from honeybarrow.service import FrontAddress, Service
 
 reactor = get_reactor()
-MAX_WAIT_S = 20.0  # only to end a test that hangs; no verdict depends on it
+MAX_WAIT_S = 20.0  # limit for tests that hang
 
 
 def start_reactor() -> None:
-    """Run the reactor in a thread, once for all tests."""
+    """Start the reactor in a thread, unless it was started before."""
     if not reactor.running and not getattr(reactor, "_startedBefore", False):
         threading.Thread(target=reactor.run, kwargs={"installSignalHandlers": False}, daemon=True).start()
         while not reactor.running:
@@ -31,21 +31,24 @@
 
 
 def in_reactor(function: Callable[..., Any], *args: Any) -> Any:
-    """Call in the reactor's thread; the result, also of a Deferred."""
+    """Call a function in the reactor's thread; return its result, also that of a Deferred."""
     start_reactor()
     return blockingCallFromThread(reactor, function, *args)
 
 
 def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait for a condition."""
+    """Wait for a condition.
+
+    :raises AssertionError: if it is not true within ``MAX_WAIT_S``.
+    """
     end = time.monotonic() + MAX_WAIT_S
     while not condition():
-        assert time.monotonic() < end, "it never came"
+        assert time.monotonic() < end, f"condition not met within {MAX_WAIT_S} s"
         time.sleep(0.005)
 
 
 class BlockingConnection:
-    """One side of a connection, in blocking calls."""
+    """One side of a line-based connection, with blocking calls."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -56,30 +59,30 @@
         self.sock.sendall("".join(line + "\r\n" for line in lines).encode())
 
     def read_line(self) -> str:
-        """The next line; empty at the end."""
+        """Return the next line, or an empty string at the end of the stream."""
         while b"\n" not in self.data:
             try:
-                more = self.sock.recv(65536)
+                data = self.sock.recv(65536)
             except ConnectionError:
                 return ""
-            if not more:
+            if not data:
                 return ""
-            self.data += more
+            self.data += data
         line, _, self.data = self.data.partition(b"\n")
         return line.rstrip(b"\r").decode("latin-1")
 
     def read_reply(self) -> str:
-        """The last line of the next reply."""
+        """Return the last line of the next reply."""
         while (line := self.read_line())[3:4] == "-":
             pass
         return line
 
     def reset(self) -> None:
-        """Close with a reset."""
+        """Close the connection with a reset."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.sock.close()
 
-    # a partner's half of a session
+    # Server side of a session, used by partners.
 
     def greet(self, *extensions: str) -> None:
         self.write_lines("220 partner")
@@ -87,17 +90,17 @@
         self.write_lines(*[f"250-{word}" for word in ("partner", *extensions)], "250 8BITMIME")
 
     def accept_envelope(self) -> None:
-        """Take MAIL, RCPT and DATA."""
-        for word, answer in (("MAIL", "250 ok"), ("RCPT", "250 ok"), ("DATA", "354 go")):
+        """Accept MAIL, RCPT and DATA, after an optional RSET."""
+        for command, reply in (("MAIL", "250 ok"), ("RCPT", "250 ok"), ("DATA", "354 go")):
             line = self.read_line()
             if line.startswith("RSET"):
                 self.write_lines("250 ok")
                 line = self.read_line()
-            assert line.startswith(word), line
-            self.write_lines(answer)
+            assert line.startswith(command), line
+            self.write_lines(reply)
 
     def read_content(self) -> str:
-        """The message, up to its dot."""
+        """Return the message content up to the terminating dot."""
         lines = []
         while (line := self.read_line()) != ".":
             assert line or self.sock.fileno() >= 0
@@ -105,7 +108,7 @@
         return "\n".join(lines)
 
     def accept_message(self, answer: str = "250 2.0.0 taken") -> str:
-        """A whole transaction."""
+        """Accept a whole transaction; return the message content."""
         self.accept_envelope()
         content = self.read_content()
         self.write_lines(answer)
@@ -113,7 +116,7 @@
 
 
 class ScriptedPartner:
-    """Listens; the first connection follows the first script, and the last script is used again."""
+    """Listener whose n-th connection follows the n-th script; further connections use the last one."""
 
     def __init__(self, *scripts: Callable[[BlockingConnection], None]) -> None:
         self.scripts = scripts
@@ -129,29 +132,31 @@
             except OSError:
                 return
             script = self.scripts[min(len(self.connections), len(self.scripts) - 1)]
-            wire = BlockingConnection(sock)
-            self.connections.append(wire)
-            threading.Thread(target=self._run_script, args=(script, wire), daemon=True).start()
+            connection = BlockingConnection(sock)
+            self.connections.append(connection)
+            threading.Thread(target=self._run_script, args=(script, connection), daemon=True).start()
 
-    def _run_script(self, script: Callable[[BlockingConnection], None], wire: BlockingConnection) -> None:
+    def _run_script(
+        self, script: Callable[[BlockingConnection], None], connection: BlockingConnection
+    ) -> None:
         with contextlib.suppress(OSError, AssertionError):
-            script(wire)
+            script(connection)
 
     def close(self) -> None:
         self.server.close()
-        for wire in self.connections:
-            wire.sock.close()
+        for connection in self.connections:
+            connection.sock.close()
 
 
-def accept_always(wire: BlockingConnection) -> None:
-    """A partner that takes everything."""
-    wire.greet()
+def accept_always(connection: BlockingConnection) -> None:
+    """Script of a partner that accepts every message."""
+    connection.greet()
     while True:
-        wire.accept_message()
+        connection.accept_message()
 
 
 class RecordingLog:
-    """A log that keeps its lines."""
+    """Logger that keeps its events in a list."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict[str, Any]]] = []
@@ -178,7 +183,7 @@
 
 
 class LiveForwarder:
-    """A whole forwarder on loopback, with partners that are listed by hand."""
+    """A whole forwarder on loopback, whose partners are listed by the test."""
 
     def __init__(
         self,
@@ -214,7 +219,7 @@
         self.ports = {protocol: port for protocol, _, port in in_reactor(start)}
 
     def list_partner(self, name: str, *ports: int, state: Any = "ready", protocol: Any = "smtp") -> None:
-        """List a partner with an endpoint on each port."""
+        """Add a partner with an endpoint on each port."""
         self.version += 1
         partner = self.partners.setdefault(name, Partner(number=len(self.partners) + 1, name=name))
         rows = tuple(
@@ -226,28 +231,28 @@
             )
             for port in ports
         )
-        news = ListUpdate(kind="changes", version=self.version, partners=(partner,), endpoints=rows)
-        in_reactor(lambda: self.service.handle_list_update(self.service.directory.apply(news)))
+        update = ListUpdate(kind="changes", version=self.version, partners=(partner,), endpoints=rows)
+        in_reactor(lambda: self.service.handle_list_update(self.service.directory.apply(update)))
 
     def client(self, protocol: str = "smtp") -> BlockingConnection:
-        """A greeted client connection."""
-        wire = BlockingConnection(socket.create_connection(("127.0.0.1", self.ports[protocol])))
-        assert wire.read_reply().startswith("220")
-        wire.write_lines("LHLO c.example" if protocol == "lmtp" else "EHLO c.example")
-        assert wire.read_reply().startswith("250")
-        return wire
-
-    def send(self, wire: BlockingConnection, recipient: str, *headers: str, by: str = "") -> str:
-        """Hand one message in; its final reply."""
-        self.submit(wire, recipient, *headers, by=by)
-        return wire.read_reply()
-
-    def submit(self, wire: BlockingConnection, recipient: str, *headers: str, by: str = "") -> None:
-        """Hand one message in, and don't wait for the reply."""
-        wire.write_lines(f"MAIL FROM:<a@c.example>{by}", f"RCPT TO:<{recipient}>", "DATA")
-        codes = [wire.read_reply()[:3] for _ in range(3)]
+        """Return a client connection after EHLO or LHLO."""
+        connection = BlockingConnection(socket.create_connection(("127.0.0.1", self.ports[protocol])))
+        assert connection.read_reply().startswith("220")
+        connection.write_lines("LHLO c.example" if protocol == "lmtp" else "EHLO c.example")
+        assert connection.read_reply().startswith("250")
+        return connection
+
+    def send(self, connection: BlockingConnection, recipient: str, *headers: str, by: str = "") -> str:
+        """Submit a message; return its final reply."""
+        self.submit(connection, recipient, *headers, by=by)
+        return connection.read_reply()
+
+    def submit(self, connection: BlockingConnection, recipient: str, *headers: str, by: str = "") -> None:
+        """Submit a message without waiting for its final reply."""
+        connection.write_lines(f"MAIL FROM:<a@c.example>{by}", f"RCPT TO:<{recipient}>", "DATA")
+        codes = [connection.read_reply()[:3] for _ in range(3)]
         assert codes == ["250", "250", "354"], codes
-        wire.write_lines(*headers, "", "hello", ".")
+        connection.write_lines(*headers, "", "hello", ".")
 
     def stop(self) -> None:
         in_reactor(self.service.stop)
@@ -255,7 +260,7 @@
 
 @contextlib.contextmanager
 def forwarder(more: str = "slots = 8, max_open = 400") -> Iterator[LiveForwarder]:
-    """A forwarder that is stopped in the end."""
+    """Provide a live forwarder, which is stopped at the end."""
     live = LiveForwarder(more)
     try:
         yield live
--- a/tests/platform_bench.py
+++ b/tests/platform_bench.py
@@ -1,4 +1,4 @@
-"""Parts of the platform process on a reactor in memory, with a clock in the test's hands."""
+"""Test benches for parts of the platform process, on an in-memory reactor with a simulated clock."""
 
 from __future__ import annotations
 
@@ -14,9 +14,7 @@
 from honeybarrow.delivery import AttemptOutcome, Forwarder
 from honeybarrow.events import AttemptStatus, Endpoint, EndpointState, MembershipUpdate, UpdateKind
 from honeybarrow.node.discovery import Discovery
-from honeybarrow.node.endpoint_list import (
-    EndpointList,
-)
+from honeybarrow.node.endpoint_list import EndpointList
 from honeybarrow.node.event_log import EventLog
 from honeybarrow.node.front import Front
 from honeybarrow.node.http_call import HttpPayload
@@ -63,7 +61,7 @@
 
 
 class CallBench:
-    """A pool on a reactor in memory, whose connects the test brings up."""
+    """HTTP connection pool on an in-memory reactor; the test completes its connects."""
 
     def __init__(self) -> None:
         self.clock = MemoryReactorClock()
@@ -76,9 +74,9 @@
         self.permit = FakePermit()
 
     def call(self, target: str = "a") -> None:
-        parcel = HttpPayload("m1", "k1", b"body")
-        done = self.pool.call(target, [("127.0.0.1", 9)], parcel, 3 * SECOND, self.permit)
-        done.addCallback(self.outcomes.append)
+        payload = HttpPayload("m1", "k1", b"body")
+        result = self.pool.call(target, [("127.0.0.1", 9)], payload, 3 * SECOND, self.permit)
+        result.addCallback(self.outcomes.append)
 
     def connect(self) -> tuple[Any, Any]:
         factory = self.clock.tcpClients[-1][2]
@@ -89,7 +87,7 @@
 
 
 class _MemoryTransport(StringTransport):  # type: ignore[misc]
-    """A transport that tells of its end as a real one does."""
+    """In-memory transport that accepts TCP options."""
 
     def setTcpNoDelay(self, enabled: bool) -> None: ...
 
@@ -98,7 +96,7 @@
 
 
 class FullSocket:
-    """A socket whose buffer is full."""
+    """Socket whose send buffer is full."""
 
     def send(self, data: bytes) -> int:
         raise BlockingIOError
@@ -108,7 +106,7 @@
 
 
 class SubmissionBench:
-    """Front, submissions, core and log on a reactor in memory; tests connect the endpoints."""
+    """Front, submission service, forwarder and log on an in-memory reactor; tests connect the endpoints."""
 
     def __init__(self, folder: Path, max_connections: int = 50, **changes: Any) -> None:
         folder.mkdir(exist_ok=True)
@@ -146,8 +144,8 @@
         )
         self.submissions.is_ready = True
         self.front = Front(reactor, self.submissions, max_connections)
-        row = Endpoint("a", 7, EndpointState.READY, "shop")
-        self.forwarder.apply_membership_update(MembershipUpdate(UpdateKind.FULL, 1, (row,)))
+        endpoint = Endpoint("a", 7, EndpointState.READY, "shop")
+        self.forwarder.apply_membership_update(MembershipUpdate(UpdateKind.FULL, 1, (endpoint,)))
         self.clock.advance(0)
 
     def raise_error(self, error: Exception) -> None:
@@ -203,7 +201,7 @@
 
 
 class DiscoveryBench:
-    """Discovery on a reactor in memory."""
+    """Discovery client on an in-memory reactor."""
 
     def __init__(self) -> None:
         self.clock = MemoryReactorClock()
@@ -225,4 +223,4 @@
     return f"{len(data):x}\r\n".encode() + data + b"\r\n"
 
 
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+WATCH_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list and the watch at discovery, in simulated time and without sockets."""
+"""Parsing of the endpoint list, and the watch at discovery, in simulated time without sockets."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from tests.helpers import SECOND, make_clocks, settings
 from tests.platform_bench import (
     ENTRY,
-    HEAD,
+    WATCH_HEAD,
     DiscoveryBench,
     MemoryReactorClock,
     MemoryTransport,
@@ -36,11 +36,11 @@
 
 
 def test_the_list_is_parsed_and_an_invalid_entry_is_skipped() -> None:
-    listing = parse_item(encode_item())
-    assert listing.endpoints == (Endpoint("s1", 3, EndpointState.READY, "m", "", 2.5),)
-    assert listing.addresses == {"s1": ("10.0.0.1", 9)}
-    broken = ({"status": "?"}, {"group": "3"}, {"address": "x"}, {"name": ""}, {"weight": "1"})
-    for changes in (*broken, {"address": "name.example:9"}):  # the network has no names to look up
+    update = parse_item(encode_item())
+    assert update.endpoints == (Endpoint("s1", 3, EndpointState.READY, "m", "", 2.5),)
+    assert update.addresses == {"s1": ("10.0.0.1", 9)}
+    invalid = ({"status": "?"}, {"group": "3"}, {"address": "x"}, {"name": ""}, {"weight": "1"})
+    for changes in (*invalid, {"address": "name.example:9"}):  # host names are not supported
         assert parse_item(encode_item(**changes)).endpoints == ()
     for bad in (b"", b"[]", b'{"endpoints":[]}', b'{"index":1}', b"[" * 5000):
         with pytest.raises(EndpointListError):
@@ -48,38 +48,38 @@
 
 
 def test_endpoints_that_leave_or_move_lose_their_connections() -> None:
-    targets = EndpointTable()
-    assert targets.apply_update(parse_item(encode_item())) == [] and targets.addresses_of("s1") == [
+    table = EndpointTable()
+    assert table.apply_update(parse_item(encode_item())) == [] and table.addresses_of("s1") == [
         ("10.0.0.1", 9)
     ]
-    assert targets.apply_update(parse_item(encode_item(address="10.0.0.2:9"))) == ["s1"]
-    targets.apply_update(parse_item(encode_item(status="leaving")))
-    assert targets.addresses_of("s1") == [] and not targets.accepts_calls("s1")
-    assert targets.apply_update(parse_item(encode_item(status="left"))) == ["s1"] and targets.addresses == {}
-    targets.apply_update(parse_item(encode_item()))
-    assert targets.apply_update(EndpointList(9, True, (), {})) == ["s1"] and targets.addresses == {}
-    assert targets.is_destination_listed(3) and not targets.is_destination_listed(4)
+    assert table.apply_update(parse_item(encode_item(address="10.0.0.2:9"))) == ["s1"]
+    table.apply_update(parse_item(encode_item(status="leaving")))
+    assert table.addresses_of("s1") == [] and not table.accepts_calls("s1")
+    assert table.apply_update(parse_item(encode_item(status="left"))) == ["s1"] and table.addresses == {}
+    table.apply_update(parse_item(encode_item()))
+    assert table.apply_update(EndpointList(9, True, (), {})) == ["s1"] and table.addresses == {}
+    assert table.is_destination_listed(3) and not table.is_destination_listed(4)
 
 
 def test_a_watch_continues_from_the_version_held_and_reports_each_item() -> None:
     bench = DiscoveryBench()
     watch, transport = bench.connect()
     assert transport.value().startswith(b"GET /discovery/hosts?stream=1&index=41 HTTP/1.1\r\n")
-    whole = encode_item() + b"\n\n"
-    watch.dataReceived(HEAD + encode_chunk(whole[:30]))
-    watch.dataReceived(encode_chunk(whole[30:]))
-    assert [listing.version for listing in bench.updates] == [4] and bench.discovery.version == 4
+    data = encode_item() + b"\n\n"
+    watch.dataReceived(WATCH_HEAD + encode_chunk(data[:30]))
+    watch.dataReceived(encode_chunk(data[30:]))
+    assert [update.version for update in bench.updates] == [4] and bench.discovery.version == 4
 
 
 def test_items_may_be_indented_and_several_may_come_at_once() -> None:
-    entry = {**ENTRY, "name": 'a}{ ["\\'}  # brackets and quotes in a string open and close nothing
+    entry = {**ENTRY, "name": 'a}{ ["\\'}  # brackets and quotes in a string must be ignored
     item = {"index": 5, "snapshot": True, "endpoints": [entry, ENTRY]}
     data = json.dumps(item, indent=2).encode() + b"\n\n" + encode_item() + b"\n"
-    whole = WatchReader().receive(data + data)
-    assert [each.version for each in whole] == [5, 4, 5, 4] and len(whole[0].endpoints) == 2
-    items = WatchReader()
-    bytewise = [each for at in range(len(data)) for each in items.receive(data[at : at + 1])]
-    assert bytewise == whole[:2]
+    updates = WatchReader().receive(data + data)
+    assert [each.version for each in updates] == [5, 4, 5, 4] and len(updates[0].endpoints) == 2
+    reader = WatchReader()
+    bytewise = [each for index in range(len(data)) for each in reader.receive(data[index : index + 1])]
+    assert bytewise == updates[:2]
 
 
 @pytest.mark.parametrize("data", [b"no list\n", b'{"index": 5,\n\n', b"}\n", b" " * (MAX_ITEM_BYTES + 1)])
@@ -87,41 +87,41 @@
     with pytest.raises(EndpointListError):
         WatchReader().receive(data)
     bench = DiscoveryBench()
-    bench.connect()[0].dataReceived(HEAD + encode_chunk(data))
-    assert [news.kind for news in bench.failures] == [UpdateKind.FAILED]
+    bench.connect()[0].dataReceived(WATCH_HEAD + encode_chunk(data))
+    assert [failure.kind for failure in bench.failures] == [UpdateKind.FAILED]
 
 
 def test_a_silent_watch_is_reopened_before_a_missed_change_counts_as_known() -> None:
     bench = DiscoveryBench()
     watch, _ = bench.connect()
-    watch.dataReceived(HEAD + encode_chunk(encode_item() + b"\n"))
+    watch.dataReceived(WATCH_HEAD + encode_chunk(encode_item() + b"\n"))
     for _ in range(5):
         bench.clock.advance(HEARTBEAT_INTERVAL_S)
         watch.dataReceived(encode_chunk(b"\n"))
     assert len(bench.clock.tcpClients) == 1
-    # From here it is silent. The first call for a new one meets nobody, the next comes when the module asks.
+    # The watch is silent from here on. The first attempt to reopen it times out, the policy makes the next.
     bench.clock.pump([0.1] * int((WATCH_TIMEOUT_S + 0.1) * 10))
     assert len(bench.clock.tcpClients) == 2 and bench.failures == []
     bench.clock.pump([0.1] * int((ANSWER_TIMEOUT_S + 0.1) * 10))
-    assert [news.kind for news in bench.failures] == [UpdateKind.FAILED]
-    first_wait_s = POLL_BACKOFF_US[0] * 2 / 1e6
-    assert WATCH_TIMEOUT_S + ANSWER_TIMEOUT_S + first_wait_s < 6
-    watch.dataReceived(encode_chunk(encode_item() + b"\n"))  # the old one wakes: it says nothing any more
+    assert [failure.kind for failure in bench.failures] == [UpdateKind.FAILED]
+    first_backoff_s = POLL_BACKOFF_US[0] * 2 / 1e6
+    assert WATCH_TIMEOUT_S + ANSWER_TIMEOUT_S + first_backoff_s < 6
+    watch.dataReceived(encode_chunk(encode_item() + b"\n"))  # input of the closed watch must be ignored
     bench.discovery.subscribe()
-    again, transport = bench.connect()
+    reopened, transport = bench.connect()
     assert b"index=4 " in transport.value()
-    again.dataReceived(HEAD + encode_chunk(encode_item() + b"\n"))
+    reopened.dataReceived(WATCH_HEAD + encode_chunk(encode_item() + b"\n"))
     assert len(bench.updates) == 2 and len(bench.failures) == 1
 
 
 def test_a_watch_that_breaks_or_is_refused_fails_once() -> None:
     bench = DiscoveryBench()
     watch, _ = bench.connect()
-    watch.dataReceived(HEAD)
+    watch.dataReceived(WATCH_HEAD)
     watch.connectionLost()
     bench.discovery.subscribe()
     bench.connect()[0].dataReceived(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
-    assert [news.kind for news in bench.failures] == [UpdateKind.FAILED] * 2
+    assert [failure.kind for failure in bench.failures] == [UpdateKind.FAILED] * 2
 
 
 @pytest.mark.parametrize("how", ["updated", "refused", "silent"])
@@ -129,28 +129,28 @@
     clock = MemoryReactorClock()
     reactor: Any = clock
     now = lambda: int(clock.seconds() * 1e6)  # noqa: E731
-    with_past = WriteAheadLog(str(tmp_path), 1_000_000, make_clocks(now))
-    with_past.append(MessageAccepted("m1", "note", 3, 9 * SECOND, "", "key", b"hi"))
-    with_past.close()
+    write_ahead_log = WriteAheadLog(str(tmp_path), 1_000_000, make_clocks(now))
+    write_ahead_log.append(MessageAccepted("m1", "note", 3, 9 * SECOND, "", "key", b"hi"))
+    write_ahead_log.close()
     config = ForwarderConfig(
         "n0", ("127.0.0.1", 9), ("127.0.0.2", 8500), str(tmp_path), 1, ResourceLimits(256, 3_000_000),
         parse_item(encode_item(status="active")), settings(),
     )  # fmt: skip
-    node = ForwarderProcess(config, reactor, make_clocks(now), lambda error: None)
-    node.start()
+    process = ForwarderProcess(config, reactor, make_clocks(now), lambda error: None)
+    process.start()
     clock.advance(0.01)
-    assert [each[0] for each in clock.tcpClients] == ["127.0.0.2"]  # it asks, and calls nobody
-    assert not node.submissions.is_ready
+    assert [each[0] for each in clock.tcpClients] == ["127.0.0.2"]  # only discovery is connected
+    assert not process.submissions.is_ready
     watch, transport = clock.tcpClients[0][2].buildProtocol(None), MemoryTransport()
     watch.makeConnection(transport)
     if how == "updated":
-        watch.dataReceived(HEAD + encode_chunk(encode_item(status="leaving") + b"\n"))
+        watch.dataReceived(WATCH_HEAD + encode_chunk(encode_item(status="leaving") + b"\n"))
     elif how == "refused":
         watch.dataReceived(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
     else:
         clock.pump([0.1] * int((FIRST_LIST_TIMEOUT_S + 0.1) * 10))
     clock.pump([0.01] * 5)
-    assert node.submissions.is_ready
+    assert process.submissions.is_ready
     called = [each[0] for each in clock.tcpClients if each[0] == "10.0.0.1"]
     assert called == ([] if how == "updated" else ["10.0.0.1"])
 
@@ -158,7 +158,7 @@
 def test_a_new_address_is_watched_at_once_from_the_version_held() -> None:
     bench = DiscoveryBench()
     watch, _ = bench.connect()
-    watch.dataReceived(HEAD + encode_chunk(encode_item() + b"\n"))
+    watch.dataReceived(WATCH_HEAD + encode_chunk(encode_item() + b"\n"))
     bench.discovery.change_address(("127.0.0.9", 8500))
     assert bench.clock.tcpClients[-1][0] == "127.0.0.9"
     assert b"index=4 " in bench.connect()[1].value() and bench.failures == []
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -1,4 +1,4 @@
-"""Log lines of the platform process: of single messages at a bounded rate, and of steps of the wall clock."""
+"""Log lines of the platform process: rate-limited message events, and steps of the wall clock."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     caplog.set_level("INFO", "honeybarrow.node")
 
 
-def test_lines_of_an_event_are_bounded_and_what_is_suppressed_is_counted(caplog: Any) -> None:
+def test_lines_of_an_event_are_rate_limited_and_suppressed_ones_are_counted(caplog: Any) -> None:
     now_s = [0.0]
     events = MessageEventLog(lambda: now_s[0], "3")
     for number in range(int(MAX_BURST_LINES) + 50):
@@ -35,7 +35,7 @@
     assert len(later) == 1 + MAX_LINES_PER_S
 
 
-def test_a_message_delivered_at_its_first_attempt_leaves_no_line(caplog: Any) -> None:
+def test_a_message_delivered_at_its_first_attempt_is_not_logged(caplog: Any) -> None:
     events = EventLog(MessageEventLog(lambda: 0.0, "1"))
     events.debug("attempt_finished", message="m1", status="ok")
     events.info("message_delivered", message="m1", attempts=1)
@@ -56,7 +56,7 @@
     assert monitor.step_count == 1
 
 
-def test_each_line_has_both_clocks() -> None:
+def test_each_line_has_the_time_of_both_clocks() -> None:
     line = TwoClockFormatter().format(logging.LogRecord("x", logging.INFO, "", 0, "ready", None, None))
     wall, monotonic, text = line.split()
     assert wall.count(":") == 2 and float(monotonic) > 0 and text == "ready"
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -1,4 +1,4 @@
-"""The work of a decision does not grow with what can't be sent: counts of visits, no seconds."""
+"""The work of a decision, in visits to messages and destinations, does not grow with unsendable messages."""
 
 from __future__ import annotations
 
@@ -6,18 +6,14 @@
 
 from benchmarks.decisions import Load, run
 
-# destinations, silent ones, the most visits to waiting messages for each message that arrived
+# Number of destinations, number of silent ones, maximum visits to waiting messages per arrived message.
 ROWS = [
     (24, 0, 1.5),
     (240, 0, 1.5),
     (2000, 0, 1.5),
-    (
-        240,
-        24,
-        3.0,
-    ),  # 7.5 before messages were queued in lines, about 700 before destinations were visited singly
-    (240, 120, 4.0),  # 29.7 before only destinations that may have the best message were considered
-    (2000, 1000, 4.0),  # 116 before
+    (240, 24, 3.0),
+    (240, 120, 4.0),
+    (2000, 1000, 4.0),
 ]
 
 
@@ -35,6 +31,6 @@
     assert figures.press <= 3.0 and figures.choose <= 3.0
 
 
-def test_visits_do_not_grow_behind_the_first_message_of_an_order_key() -> None:
+def test_visits_do_not_grow_with_messages_queued_for_an_order_key() -> None:
     figures = run(Load(240, 24, classes="mixed", seconds=3.0))
     assert figures.press <= 8.0 and figures.choose <= 2.0
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP machines: what is read, what is refused, and that no cut of the bytes changes either."""
+"""HTTP parsers: valid and invalid messages, and independence of how the input is split."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 GOOD = b"POST /note HTTP/1.1\r\nHost: a\r\nX-Id: 7\r\nContent-Length: 3\r\n\r\nabc"
 
 
-def read(data: bytes, *cuts: int) -> list[http.Request | http.InvalidRequest]:
+def read_requests(data: bytes, *splits: int) -> list[http.Request | http.InvalidRequest]:
+    """Return the events of input that arrives in pieces, split at the given offsets."""
     reader, events = http.RequestReader(), []
-    edges = [0, *sorted(cuts), len(data)]
-    for start, end in itertools.pairwise(edges):
+    offsets = [0, *sorted(splits), len(data)]
+    for start, end in itertools.pairwise(offsets):
         reader.receive(data[start:end])
         while (event := reader.next_event()) is not None:
             events.append(event)
@@ -25,8 +26,8 @@
     return events
 
 
-def test_a_request_is_read_whole() -> None:
-    request = read(GOOD)[0]
+def test_a_request_is_parsed() -> None:
+    request = read_requests(GOOD)[0]
     assert request == http.Request(
         "POST", "/note", {b"host": b"a", b"x-id": b"7", b"content-length": b"3"}, b"abc", False
     )
@@ -34,7 +35,7 @@
 
 @given(st.lists(st.integers(0, 2 * len(GOOD)), max_size=6))
 def test_no_cut_changes_what_is_read(cuts: list[int]) -> None:
-    assert read(GOOD * 2, *cuts) == read(GOOD * 2)
+    assert read_requests(GOOD * 2, *cuts) == read_requests(GOOD * 2)
 
 
 @pytest.mark.parametrize(
@@ -61,13 +62,13 @@
         (b"POST /a HTTP/1.1\r\nA: " + b"x" * 9000, 431),
     ],
 )
-def test_what_two_readers_could_read_differently_is_refused(data: bytes, status: int) -> None:
+def test_an_ambiguous_or_invalid_request_is_rejected(data: bytes, status: int) -> None:
     reader = http.RequestReader()
     reader.receive(data)
     event = reader.next_event()
     assert isinstance(event, http.InvalidRequest) and event.status == status
     reader.receive(GOOD)
-    assert reader.next_event() is None  # nothing behind an error is looked at
+    assert reader.next_event() is None  # input after an error is ignored
 
 
 def test_a_second_request_waits_for_the_response_to_the_first() -> None:
@@ -81,32 +82,33 @@
     assert reader.is_buffer_full
 
 
-def answer(data: bytes, ended: bool = False, most: int | None = 65536) -> list[object]:
-    reader = http.ResponseReader(most)
+def read_response(data: bytes, is_closed: bool = False, max_body_bytes: int | None = 65536) -> list[object]:
+    """Return the events of a response; with ``is_closed``, the connection closes after it."""
+    reader = http.ResponseReader(max_body_bytes)
     events: list[object] = list(reader.receive(data))
-    return events + (list(reader.on_connection_closed()) if ended else [])
+    return events + (list(reader.on_connection_closed()) if is_closed else [])
 
 
-def test_a_response_is_read_by_length_by_chunks_and_to_the_close() -> None:
+def test_a_body_ends_by_its_length_its_last_chunk_or_the_close() -> None:
     head = http.Head(200, {b"content-length": b"2"})
-    assert answer(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") == [
+    assert read_response(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") == [
         head,
         http.Data(b"ok"),
         http.Complete(True),
     ]
     chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n1;a=b\r\n!\r\n0\r\n\r\n"
-    assert answer(chunked)[1:] == [http.Data(b"ok"), http.Data(b"!"), http.Complete(True)]
-    assert answer(b"HTTP/1.1 200 OK\r\n\r\nok", True)[1:] == [http.Data(b"ok"), http.Complete(False)]
-    assert answer(b"HTTP/1.1 204 No Content\r\n\r\n")[-1] == http.Complete(True)
+    assert read_response(chunked)[1:] == [http.Data(b"ok"), http.Data(b"!"), http.Complete(True)]
+    assert read_response(b"HTTP/1.1 200 OK\r\n\r\nok", True)[1:] == [http.Data(b"ok"), http.Complete(False)]
+    assert read_response(b"HTTP/1.1 204 No Content\r\n\r\n")[-1] == http.Complete(True)
 
 
-def test_interim_responses_are_passed_over_and_bounded() -> None:
+def test_interim_responses_are_skipped_up_to_a_limit() -> None:
     interim = b"HTTP/1.1 103 Early Hints\r\nA: b\r\n\r\n"
-    assert answer(interim * 3 + b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") == [
+    assert read_response(interim * 3 + b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") == [
         http.Head(503, {b"content-length": b"0"}),
         http.Complete(True),
     ]
-    assert isinstance(answer(interim * 9)[-1], http.InvalidResponse)
+    assert isinstance(read_response(interim * 9)[-1], http.InvalidResponse)
 
 
 @pytest.mark.parametrize(
@@ -126,16 +128,16 @@
 def test_an_invalid_response_still_gives_the_status_of_its_first_line(
     data: bytes, status: int | None
 ) -> None:
-    last = answer(data)[-1]
+    last = read_response(data)[-1]
     assert isinstance(last, http.InvalidResponse) and last.status == status
 
 
-def test_a_truncated_response_is_invalid_and_surplus_ends_the_reuse() -> None:
+def test_a_truncated_response_is_invalid_and_surplus_bytes_prevent_reuse() -> None:
     assert isinstance(
-        answer(b"HTTP/1.1 503 No\r\nContent-Length: 9\r\n\r\nx", True)[-1], http.InvalidResponse
+        read_response(b"HTTP/1.1 503 No\r\nContent-Length: 9\r\n\r\nx", True)[-1], http.InvalidResponse
     )
     twice = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" * 2
-    assert answer(twice)[-1] == http.Complete(False)
+    assert read_response(twice)[-1] == http.Complete(False)
 
 
 @given(st.binary(max_size=300), st.integers(0, 300))
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -1,4 +1,4 @@
-"""The settings of one customer never show where another is served, in the program or after a start."""
+"""Names of one customer's settings never appear in the program or in the output for another customer."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 
 ROOT = Path(__file__).parent.parent
 SITES = sorted(ROOT.glob("deploy/sites/*/*.toml"))
-# The names of the platform's protocol, which every site has; the rest of what a site may name is its own.
-PROTOCOL = {
+# Header names of the platform's protocol, which all sites share.
+PROTOCOL_HEADERS = {
     "X-Correlation-Id", "X-Service-Class", "X-Account", "X-Time-Left", "X-Consignee", "X-Repeat",
     "Idempotency-Key", "X-Backend-Load", "X-Line-Busy", "X-Come-Back-Ms",
 }  # fmt: skip
 
 
-def own_names(site: Path) -> set[str]:
-    """Classes, tenants, kinds, zones and headers that this site alone names."""
+def site_specific_names(site: Path) -> set[str]:
+    """Return the names of classes, tenants, kinds, zones and headers that only this site uses."""
     values: dict[str, Any] = tomllib.loads(site.read_text())
     names = {values["name"], *values["net"]["zones"]}
     names |= {row["name"] for part in ("class", "tenant", "tier") for row in values.get(part, ())}
     names |= {kind["name"] for tier in values["tier"] for kind in tier["kind"]}
     real = site.parent / "real.json"
     if real.exists():
-        names |= set(json.loads(real.read_text())["h"].values()) - PROTOCOL
+        names |= set(json.loads(real.read_text())["h"].values()) - PROTOCOL_HEADERS
     return names
 
 
 @pytest.mark.parametrize("site", SITES, ids=lambda site: site.stem)
 def test_no_name_of_a_site_occurs_in_the_program(site: Path) -> None:
-    names = own_names(site)
+    names = site_specific_names(site)
     assert len(names) >= 8
     pattern = re.compile("|".join(rf"(?<![\w-]){re.escape(name)}(?![\w-])" for name in names), re.I)
     files = [*ROOT.glob("honeybarrow/**/*.py"), *ROOT.glob("honeybarrow/**/*.star")]
@@ -48,7 +48,9 @@
 def test_the_sites_of_the_project_share_no_class_tenant_or_kind() -> None:
     seen: set[str] = set()
     for site in SITES:
-        names = own_names(site) - set(json.loads((site.parent / "real.json").read_text())["h"].values())
+        names = site_specific_names(site) - set(
+            json.loads((site.parent / "real.json").read_text())["h"].values()
+        )
         assert not names & seen, site
         seen |= names
     assert len(SITES) >= 2
@@ -91,18 +93,18 @@
 
 
 @pytest.mark.parametrize(("first", "second"), [(ONE, OTHER), (OTHER, ONE)])
-def test_a_state_folder_of_other_settings_is_recovered_and_leaks_nowhere(
+def test_recovery_of_another_customers_state_folder_does_not_leak_its_names(
     tmp_path: Path, first: dict[str, Any], second: dict[str, Any]
 ) -> None:
-    """One script against two customers, in one process after another, with one folder."""
+    """Two forwarder processes use the same state folder with the settings of different customers."""
 
-    async def go() -> None:
+    async def run() -> None:
         platform = Platform(tmp_path, first)
         try:
             await platform.start_peers()
             old, new = ([row["name"] for row in each["services"]] for each in (first, second))
             old_account, account = (each["tenants"][0]["name"] for each in (first, second))
-            platform.choose_answer = lambda message: None  # all hang
+            platform.choose_answer = lambda message: None  # no call is answered
             await platform.start_forwarder()
             for number, cls in enumerate(old):
                 assert await post(platform, f"m{number}", cls, old_account) == 202
@@ -112,7 +114,7 @@
             platform.settings = second
             platform.choose_answer = lambda message: TARGET_ANSWER
             await platform.start_forwarder()
-            # A message of a class that is gone fails with a notification, and is never sent.
+            # A message whose class no longer exists fails with a notification and is never sent.
             await platform.wait_until(lambda: len(platform.notifications) == 2)
             given_up = [{"message": f"m{number}", "outcome": "given_up"} for number in (0, 1)]
             assert sorted(platform.notifications, key=str) == given_up and len(platform.calls) == 2
@@ -130,4 +132,4 @@
         finally:
             await platform.close()
 
-    asyncio.run(go())
+    asyncio.run(run())
--- a/tests/test_request_parser.py
+++ b/tests/test_request_parser.py
@@ -1,4 +1,4 @@
-"""Parsing of clients' requests."""
+"""Parsing of submissions and rejection of invalid ones."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
     assert parse_submission(create_request(x_repeat="again"), CLASS_TABLE, TENANTS) == SubmittedMessage(
         "m1", "note", 7, "acme", 480_000, "", True, b"x"
     )
-    micro = parse_submission(create_request(x_time_left="480u"), CLASS_TABLE, TENANTS)
-    long = parse_submission(create_request(x_time_left="999999999m"), CLASS_TABLE, TENANTS)
-    assert isinstance(micro, SubmittedMessage) and micro.time_left_us == 480
-    assert isinstance(long, SubmittedMessage) and long.time_left_us == CLASS_TABLE["note"].deadline_us
+    in_microseconds = parse_submission(create_request(x_time_left="480u"), CLASS_TABLE, TENANTS)
+    too_long = parse_submission(create_request(x_time_left="999999999m"), CLASS_TABLE, TENANTS)
+    assert isinstance(in_microseconds, SubmittedMessage) and in_microseconds.time_left_us == 480
+    assert isinstance(too_long, SubmittedMessage) and too_long.time_left_us == CLASS_TABLE["note"].deadline_us
 
 
-def test_an_ordered_class_takes_its_order_key_from_the_path_and_others_do_not() -> None:
+def test_only_an_ordered_class_takes_an_order_key_from_the_path() -> None:
     ordered = parse_submission(
         create_request(path="/step/a1?x", x_service_class="step"), CLASS_TABLE, TENANTS
     )
-    plain = parse_submission(create_request(path="/note/a1"), CLASS_TABLE, TENANTS)
-    none = parse_submission(create_request(path="/step", x_service_class="step"), CLASS_TABLE, TENANTS)
-    long = parse_submission(
+    unordered = parse_submission(create_request(path="/note/a1"), CLASS_TABLE, TENANTS)
+    without_key = parse_submission(create_request(path="/step", x_service_class="step"), CLASS_TABLE, TENANTS)
+    too_long = parse_submission(
         create_request(path=f"/step/{'a' * 129}", x_service_class="step"), CLASS_TABLE, TENANTS
     )
     assert isinstance(ordered, SubmittedMessage) and ordered.order_key == "a1"
-    assert isinstance(plain, SubmittedMessage) and plain.order_key == ""
-    assert isinstance(none, SubmittedMessage) and none.order_key == ""
-    assert long == RejectedRequest(400, "order key too long")
+    assert isinstance(unordered, SubmittedMessage) and unordered.order_key == ""
+    assert isinstance(without_key, SubmittedMessage) and without_key.order_key == ""
+    assert too_long == RejectedRequest(400, "order key too long")
 
 
 @pytest.mark.parametrize(
@@ -54,7 +54,7 @@
         {"x_time_left": "0m"},
         {"x_consignee": "dest=x"},
         {"x_consignee": None},
-        {"x_service_class": "post", "path": "/post"},  # keyed, and no key
+        {"x_service_class": "post", "path": "/post"},  # the class requires an idempotency key
     ],
 )
 def test_an_invalid_request_is_rejected(changes: dict[str, str | None]) -> None:
--- a/tests/test_service_on_platform.py
+++ b/tests/test_service_on_platform.py
@@ -1,4 +1,4 @@
-"""The forwarder as the platform starts it, on loopback: the whole path, signals, deaths of its process."""
+"""The forwarder as a process of the platform, on loopback: delivery, logs, signals and restarts."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from honeybarrow.recovery import MessageAccepted
 from tests.platform import TARGET_ANSWER, Platform
 
-ALIKE = {"aimUs": 3_000_000, "hardLimitUs": 8_000_000, "lateShare": 0.4}
+CLASS_LIMITS = {"aimUs": 3_000_000, "hardLimitUs": 8_000_000, "lateShare": 0.4}
 SETTINGS: dict[str, Any] = {
     "services": [
-        {**ALIKE, "name": "note", "idempotency": "free"},
-        {**ALIKE, "name": "post", "idempotency": "guarded", "windowUs": 5_000_000},
-        {**ALIKE, "name": "pay", "idempotency": "single_shot"},
+        {**CLASS_LIMITS, "name": "note", "idempotency": "free"},
+        {**CLASS_LIMITS, "name": "post", "idempotency": "guarded", "windowUs": 5_000_000},
+        {**CLASS_LIMITS, "name": "pay", "idempotency": "single_shot"},
     ],
     "kinds": ["shop"],
     "familyInfo": {"callSlots": 8},
@@ -32,21 +32,23 @@
 }
 
 
-def play(folder: Path, part: Callable[[Platform], Awaitable[None]]) -> None:
-    async def go() -> None:
+def run_on_platform(folder: Path, scenario: Callable[[Platform], Awaitable[None]]) -> None:
+    """Run a scenario against a started forwarder, then stop the platform."""
+
+    async def run() -> None:
         platform = Platform(folder, SETTINGS)
         try:
             await platform.start_peers()
             await platform.start_forwarder()
-            await part(platform)
+            await scenario(platform)
         finally:
             await platform.close()
 
-    asyncio.run(go())
+    asyncio.run(run())
 
 
 def test_a_message_is_delivered_unchanged(tmp_path: Path) -> None:
-    async def part(platform: Platform) -> None:
+    async def scenario(platform: Platform) -> None:
         assert await platform.submit("m1") == 202
         await platform.wait_until(lambda: platform.delivered == ["m1"])
         assert platform.calls == [("m1", b"a\x00\r\nb")] and platform.keys == {"m1": "k-m1"}
@@ -55,11 +57,11 @@
         assert await platform.submit("m1") == 409
         assert platform.notifications == []
 
-    play(tmp_path, part)
+    run_on_platform(tmp_path, scenario)
 
 
 def test_a_failed_message_is_notified_at_once(tmp_path: Path) -> None:
-    async def part(platform: Platform) -> None:
+    async def scenario(platform: Platform) -> None:
         platform.choose_answer = lambda message: b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
         assert await platform.submit("p1", "pay") == 202
         await platform.wait_until(lambda: platform.notifications)
@@ -67,11 +69,11 @@
             platform.notifications == [{"message": "p1", "outcome": "given_up"}] and len(platform.calls) == 1
         )
 
-    play(tmp_path, part)
+    run_on_platform(tmp_path, scenario)
 
 
 def test_only_messages_with_a_fault_are_logged_each_step_with_its_id(tmp_path: Path) -> None:
-    async def part(platform: Platform) -> None:
+    async def scenario(platform: Platform) -> None:
         assert await platform.submit("delivered-1") == 202
         await platform.wait_until(lambda: platform.delivered == ["delivered-1"])
         platform.choose_answer = lambda message: b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
@@ -89,11 +91,11 @@
         assert "state_before=ambiguous reason=500" in steps[1] and "time_left_ms=" in steps[1]
         assert len(steps) == 2 and not [line for line in lines if "k-failed-1" in line]
 
-    play(tmp_path, part)
+    run_on_platform(tmp_path, scenario)
 
 
 def test_killed_repeatedly_it_completes_each_message_and_repeats_no_payment(tmp_path: Path) -> None:
-    async def part(platform: Platform) -> None:
+    async def scenario(platform: Platform) -> None:
         names = [f"{cls}-{number}" for number in range(15) for cls in ("note", "post", "pay")]
         seen: Counter[str] = Counter()
 
@@ -101,7 +103,7 @@
             seen[message] += 1
             number = int(message.split("-")[1])
             if number % 3 == 0 and seen[message] == 1:
-                return None  # in flight as the process is killed
+                return None  # still in flight when the process is killed
             if number % 3 == 1 and seen[message] == 1:
                 return b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
             return TARGET_ANSWER
@@ -123,29 +125,29 @@
         assert accepted
         refused_first = {name for name in accepted if int(name.split("-")[1]) % 3 == 1}
         for name, count in Counter(message for message, _ in platform.calls).items():
-            # A payment goes out again only after an answer that proves that it has not run.
+            # A payment may be repeated only after a response that proves that it has not run.
             assert not name.startswith("pay") or count <= 1 + (name in refused_first)
 
-    play(tmp_path, part)
+    run_on_platform(tmp_path, scenario)
 
 
 def test_a_planned_restart_leaves_open_messages_to_the_next_process(tmp_path: Path) -> None:
-    async def part(platform: Platform) -> None:
-        wait = b"HTTP/1.1 429 Wait\r\nX-Come-Back-Ms: 9000\r\nContent-Length: 0\r\n\r\n"
-        platform.choose_answer = lambda message: wait
+    async def scenario(platform: Platform) -> None:
+        retry_later = b"HTTP/1.1 429 Wait\r\nX-Come-Back-Ms: 9000\r\nContent-Length: 0\r\n\r\n"
+        platform.choose_answer = lambda message: retry_later
         assert await platform.submit("m1") == 202
         await platform.wait_until(lambda: platform.calls)
         assert await platform.end_forwarder(signal.SIGTERM) == 0
         assert platform.notifications == [] and platform.delivered == []
         platform.choose_answer = lambda message: TARGET_ANSWER
         await platform.start_forwarder()
-        await platform.wait_until(lambda: platform.delivered == ["m1"])  # a restart ends the wait
+        await platform.wait_until(lambda: platform.delivered == ["m1"])  # a Retry-After ends with the process
 
-    play(tmp_path, part)
+    run_on_platform(tmp_path, scenario)
 
 
 def test_a_reload_moves_watch_and_notifications_and_an_invalid_one_changes_nothing(tmp_path: Path) -> None:
-    async def part(platform: Platform) -> None:
+    async def scenario(platform: Platform) -> None:
         await platform.wait_until(lambda: platform.watches)
         assert platform.process is not None
         (tmp_path / "config.json").write_text("{")
@@ -159,11 +161,11 @@
         assert await platform.submit("p1", "pay") == 202
         await platform.wait_until(lambda: platform.notifications)
 
-    play(tmp_path, part)
+    run_on_platform(tmp_path, scenario)
 
 
 def _fill_log(folder: Path) -> int:
-    """Fill a write-ahead log with pending messages; return how many there are."""
+    """Fill a write-ahead log with pending messages; return their number."""
     log = WriteAheadLog(str(folder), 2_400_000, system_clocks())
     count = 0
     while log.try_reserve(f"m{count}", 600):
@@ -175,8 +177,8 @@
     return count
 
 
-class Crowd:
-    """Clients that connect, a thousand of them, and send nothing."""
+class IdleClients:
+    """Clients that connect and send nothing."""
 
     SIZE = 1000
 
@@ -189,13 +191,13 @@
 
     async def _connect(self) -> None:
         while self.is_connecting and len(self.sockets) < self.SIZE:
-            own = socket.socket()
-            own.setblocking(False)
+            sock = socket.socket()
+            sock.setblocking(False)
             try:
-                await asyncio.get_running_loop().sock_connect(own, self.address)
-                self.sockets.append(own)
+                await asyncio.get_running_loop().sock_connect(sock, self.address)
+                self.sockets.append(sock)
             except OSError:
-                own.close()
+                sock.close()
                 await asyncio.sleep(0.005)
 
     async def stop(self) -> None:
@@ -208,7 +210,7 @@
 
 
 async def _measure_start_s(platform: Platform) -> float:
-    """Start the forwarder up to three times on a busy machine; what waits too long does so each time."""
+    """Return the shortest start time of up to three starts, which excludes delays by a busy machine."""
     ready_s: list[float] = []
     while True:
         started_s = time.monotonic()
@@ -223,25 +225,25 @@
 def test_a_start_into_a_crowd_with_a_full_log_and_a_silent_discovery_is_ready_soon(
     tmp_path: Path, mode: str
 ) -> None:
-    """A thousand clients connect as the process starts, and its folder holds all that it may."""
+    """Many clients connect during the start, and the write-ahead log is full."""
     platform = Platform(tmp_path, {**SETTINGS, "membershipMode": mode})
     assert 500 < _fill_log(platform.state) < 10_000
 
-    async def go() -> None:
-        crowd: Crowd | None = None
+    async def run() -> None:
+        clients: IdleClients | None = None
         try:
             await platform.start_peers()
             platform.is_discovery_silent = True
-            crowd = Crowd(platform.listen)
+            clients = IdleClients(platform.listen)
             ready_s = await _measure_start_s(platform)
-            await platform.wait_until(lambda: len(crowd.sockets) >= Crowd.SIZE)
+            await platform.wait_until(lambda: len(clients.sockets) >= IdleClients.SIZE)
             assert await platform.submit("n1") in (202, 503)  # the log is full
             assert ready_s < 3.0
-            await crowd.stop()
+            await clients.stop()
             assert await platform.end_forwarder(signal.SIGTERM) == 0
         finally:
-            if crowd is not None:
-                crowd.close()
+            if clients is not None:
+                clients.close()
             await platform.close()
 
-    asyncio.run(go())
+    asyncio.run(run())
