--- a/honeybarrow/node/http_call.py
+++ b/honeybarrow/node/http_call.py
@@ -86,8 +86,8 @@
         # While the connection was being established, the target may have left the list, another call may
         # have received a Retry-After, or the idempotency window may have ended.
         self.pool.read_arrived_answers()
-        is_gone = not self.pool.can_send_to(self.target)
-        if reason := "the target is no longer listed" if is_gone else self.permit.record_start():
+        is_unlisted = not self.pool.can_send_to(self.target)
+        if reason := "the target is no longer listed" if is_unlisted else self.permit.record_start():
             self.finish(AttemptOutcome(AttemptStatus.NOT_SENT, True, reason=reason))
             self.pool.add_idle(connection)
             return
