--- a/honeybarrow/fleet/__init__.py
+++ b/honeybarrow/fleet/__init__.py
@@ -1,6 +1,6 @@
-"""What forwarders of one fleet exchange: membership, evidence, zone verdicts, replicas (docs/fleet.md).
+"""Coordination between the forwarders of a fleet: membership, evidence, zone verdicts and replication.
 
-Never imported by the platform's ``run``.
+See docs/fleet.md. The platform's ``run`` command does not import this package.
 """
 
 from honeybarrow.fleet.membership import Membership
--- a/honeybarrow/fleet/agent.py
+++ b/honeybarrow/fleet/agent.py
@@ -1,8 +1,8 @@
-"""One forwarder's part in its fleet: puts membership, evidence, zone verdicts and the sockets together.
+"""Fleet agent of one forwarder: connects membership, call evidence, zone coordination and the transport.
 
-Carries out what these parts decide, and wakes them. The service passes in updates of the endpoint list and
-the results of its attempts; the agent passes back the endpoint list as the delivery policy shall see it.
-Clock, reactor, randomness and files are handed in.
+Performs the actions that these components return and schedules their wake-ups. The service passes in endpoint
+list updates and the results of its attempts; the agent publishes the filtered endpoint list for the delivery
+policy. Clock, reactor, random generator and file access are injected.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 from honeybarrow.ports import Logger, Reactor
 
 SECOND = 1_000_000
-JOIN_TIMEOUT_US = SECOND  # how long a member that starts waits to hear the fleet's verdicts
+JOIN_TIMEOUT_US = SECOND  # maximum wait for the verdicts of the fleet after the start
 
 MEMBER_EVENTS = {
     swim.MemberState.ALIVE: "member_alive",
@@ -51,10 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetConfig:
-    """The fleet of one forwarder, as its settings have it.
+    """Fleet configuration of one forwarder.
 
-    ``peer_addresses``: where configured peers are reached. An empty ``advertised_address``: the one on which
-    it listens. ``uses_weights``: whether listed weights limit what an endpoint bears.
+    ``peer_addresses`` maps the names of configured peers to their addresses. An empty ``advertised_address``
+    means the bound address. ``uses_weights`` tells whether the listed weights limit the load of an endpoint.
     """
 
     fleet_name: str
@@ -69,10 +69,10 @@
 
 
 class FleetAgent:
-    """Drives the parts of one member.
+    """Runs one member of the fleet.
 
-    ``publish`` gets updates of the endpoint list for the delivery policy; ``load_verdicts`` and
-    ``save_verdicts`` keep the verdicts between two processes.
+    ``publish`` receives endpoint list updates for the delivery policy; ``load_verdicts`` and
+    ``save_verdicts`` persist the verdicts across restarts.
     """
 
     def __init__(
@@ -91,7 +91,7 @@
         self.config, self.reactor, self.now_us, self.publish = config, reactor, now_us, publish
         self.load_verdicts, self.save_verdicts, self.log = load_verdicts, save_verdicts, log
         name = config.member_name
-        peer_addresses = {peer: place for peer, place in config.peer_addresses.items() if peer != name}
+        peer_addresses = {peer: address for peer, address in config.peer_addresses.items() if peer != name}
         self.membership = Membership(
             name,
             config.zone,
@@ -111,14 +111,14 @@
         self._bound_address: HostPort | None = None
         self._timer: Any = None
         self._started_us = 0
-        self._is_ready = False  # whether the verdicts of the fleet were heard, or waited for long enough
+        self._is_ready = False  # verdicts received from the fleet, or JOIN_TIMEOUT_US elapsed
         self._saved_digest = 0
         self._is_stopped = False
 
-    # from the service
+    # called by the service
 
     def start(self) -> HostPort:
-        """Listen and join; the address that is bound. Raises ``CannotListenError``."""
+        """Listen, join the fleet and return the bound address. Raises ``CannotListenError``."""
         bound_address = self._bound_address = self.transport.start()
         if not self.config.advertised_address:
             self.membership.set_address("{}:{}".format(*bound_address))
@@ -131,7 +131,7 @@
         return bound_address
 
     def stop(self) -> None:
-        """Announce the leave and close the sockets."""
+        """Announce the departure and close the sockets."""
         if self._is_stopped or self._bound_address is None:
             return
         self._carry_out_membership_actions(self.membership.leave())
@@ -141,7 +141,7 @@
         self.transport.stop()
 
     def filter_endpoint_update(self, update: MembershipUpdate) -> MembershipUpdate:
-        """The register's update, as the delivery policy shall see it."""
+        """Return the register's update with the endpoints of avoided zones marked as draining."""
         filtered = self.endpoint_filter.apply_update(update, self._get_zone_usage)
         if update.kind is not UpdateKind.FAILED:
             self.zones.update_endpoints(self.endpoint_filter.list_endpoints())
@@ -151,7 +151,7 @@
         return filtered
 
     def attempt_started(self, message: str, attempt: int, target: str) -> None:
-        """Record that a call goes out."""
+        """Record the start of a call."""
         endpoint = self.endpoint_filter.listed_endpoints.get(target)
         if endpoint is not None and endpoint.zone:
             call = (message, attempt)
@@ -167,7 +167,7 @@
         if self.zones.is_probing and not self._is_stopped:
             self._publish_endpoint_changes()
 
-    # actions of the parts
+    # actions returned by membership and zone coordination
 
     def _carry_out_membership_actions(self, actions: Sequence[swim.MembershipAction]) -> None:
         for action in actions:
@@ -233,19 +233,19 @@
             self.log.warning("saved_verdicts_unreadable", reason=str(error))
             return None
 
-    # from the transport
+    # called by the transport
 
     def local_incarnation(self) -> int:
-        """Incarnation that goes out with each message."""
+        """Return the incarnation sent with each message."""
         return self.membership.local_member.incarnation
 
     def find_member(self, name: str) -> swim.MemberUpdate | None:
-        """What is known of another member."""
+        """Return the current update of a remote member, or ``None`` if it is unknown."""
         record = self.membership.members.get(name)
         return record.update if record else None
 
     def handle_message(self, sender: str, message: DatagramMessage) -> None:
-        """Pass a datagram's message to the part that it concerns."""
+        """Dispatch a message to membership or zone coordination."""
         now_us = self.now_us()
         if isinstance(message, swim.Ping | swim.Ack | swim.IndirectPing | swim.Nack):
             self._carry_out_membership_actions(self.membership.handle_message(now_us, sender, message))
@@ -254,13 +254,13 @@
         self._schedule_wake()
 
     def handle_push_pull(self, remote: PushPullState) -> PushPullState:
-        """Merge the other side of an exchange; our side, as it was before."""
+        """Merge the remote state and return the local state from before the merge."""
         local = self._get_push_pull_state()
         self._merge_push_pull_state(remote)
         return local
 
     def handle_operator_request(self, request: StatusQuery | SetOverride) -> OperatorReply:
-        """Answer an operator's query, or set an override for the whole fleet."""
+        """Answer a status query, or set an override for the whole fleet."""
         if isinstance(request, SetOverride):
             try:
                 self._carry_out_zone_actions(
@@ -283,7 +283,7 @@
         self._mark_ready()
         self._schedule_wake()
 
-    # time
+    # timers
 
     def _schedule_wake(self) -> None:
         if self._is_stopped:
@@ -302,15 +302,15 @@
     # status
 
     def list_member_status(self) -> list[MemberStatusRow]:
-        """All members, as this one knows them."""
+        """Return the status of all members known to this one."""
         return list_member_status(self.now_us(), self._started_us, self.membership)
 
     def list_zone_status(self) -> list[ZoneStatusRow]:
-        """All zones, as this member knows them."""
+        """Return the status of all zones known to this member."""
         return list_zone_status(self.now_us(), self.zones, self.membership)
 
     def collect_metrics(self) -> FleetMetrics:
-        """Counts for a scrape."""
+        """Return the values for a metrics scrape."""
         return FleetMetrics(
             members_by_state=count_members_by_state(self.membership),
             zone_statuses=count_zone_statuses(self.now_us(), self.zones),
--- a/honeybarrow/fleet/endpoint_filter.py
+++ b/honeybarrow/fleet/endpoint_filter.py
@@ -1,7 +1,7 @@
-"""The register's endpoint list as the delivery policy shall see it, less the zones that the fleet avoids.
+"""Filter of the register's endpoint list that removes avoided zones before the delivery policy sees it.
 
-No I/O, no clock. The policy sees nothing but updates of a list: an endpoint of an avoided zone is published
-as draining, and as ready again later. The register goes before: what it drains or has removed stays so.
+No I/O, no clock. An endpoint in an avoided zone is published as draining, and as ready once the zone is used
+again. Endpoints that the register drains or removes are never published as ready.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 from honeybarrow.fleet.zone_view import ZoneUsage
 
 READY, DRAINING, GONE = EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE
-ZoneUsageLookup = Callable[[str, int], ZoneUsage]  # by zone and destination
+ZoneUsageLookup = Callable[[str, int], ZoneUsage]  # arguments: zone, destination
 
 
 class EndpointFilter:
-    """The register's list, and which state of each endpoint was published last."""
+    """The register's list, with the last published state of each endpoint."""
 
     def __init__(self) -> None:
         self.list_version = 0
         self.listed_endpoints: dict[str, Endpoint] = {}  # by target
-        self.retained_destinations: dict[int, None] = {}  # in use though all their zones are avoided
+        self.retained_destinations: dict[int, None] = {}  # kept in use because all their zones are avoided
         self._published_states: dict[str, EndpointState] = {}  # by target
         self._targets_by_destination: dict[int, dict[str, None]] = {}
 
     def apply_update(self, update: MembershipUpdate, get_usage: ZoneUsageLookup) -> MembershipUpdate:
-        """Take in the register's update; the update to publish in its place."""
+        """Apply an update of the register and return the update to publish instead."""
         if update.kind is UpdateKind.FAILED:
             return update
         self.list_version = update.version
@@ -45,9 +45,8 @@
                 continue
             self.listed_endpoints[endpoint.target] = endpoint
             self._targets_by_destination.setdefault(endpoint.destination, {})[endpoint.target] = None
-        # Danger: what the register says of one endpoint may bring others of its destination back, as when it
-        # drains the last one outside an avoided zone. So all endpoints of a destination that was named are
-        # published.
+        # An update of one endpoint can change the state of others: if the register drains the last endpoint
+        # outside an avoided zone, those inside are used again. So publish all endpoints of the destination.
         published = [
             endpoint
             for destination in changed_destinations
@@ -58,7 +57,7 @@
         return replace(update, endpoints=(*removed, *published))
 
     def refresh(self, get_usage: ZoneUsageLookup) -> MembershipUpdate | None:
-        """The endpoints whose state is to be published anew, as zones are used now; ``None`` without any."""
+        """Return an update for endpoints whose state changed with the zone usage, or ``None``."""
         changed = [
             endpoint
             for destination in self._targets_by_destination
@@ -72,11 +71,11 @@
         return MembershipUpdate(UpdateKind.CHANGES, self.list_version, tuple(changed))
 
     def list_endpoints(self) -> Iterable[Endpoint]:
-        """The register's list, unfiltered."""
+        """Return the register's list, unfiltered."""
         return self.listed_endpoints.values()
 
     def get_published_state(self, target: str) -> EndpointState | None:
-        """The state of an endpoint that was published last."""
+        """Return the last published state of an endpoint."""
         return self._published_states.get(target)
 
     def _filter_destination(self, destination: int, get_usage: ZoneUsageLookup) -> list[Endpoint]:
@@ -84,12 +83,11 @@
         endpoints = [self.listed_endpoints[target] for target in targets]
         usages = {endpoint.target: get_usage(endpoint.zone, destination) for endpoint in endpoints}
         ready = [endpoint for endpoint in endpoints if endpoint.state is READY]
-        # A policy that has a choice keeps to the endpoints that it used last: a zone that is probed stands
-        # alone.
+        # The policy prefers endpoints that it used before, so a zone under probe is published on its own.
         is_probing = any(usages[endpoint.target] is ZoneUsage.PROBED for endpoint in ready)
         wanted_usage = ZoneUsage.PROBED if is_probing else ZoneUsage.USED
         avoided = {target: usage is not wanted_usage for target, usage in usages.items()}
-        # Danger: a destination without an endpoint gets nothing at all; a failing zone still serves some.
+        # A failing zone is better than no endpoint at all, so a destination always keeps its endpoints.
         if all(avoided[endpoint.target] for endpoint in ready):
             if ready:
                 self.retained_destinations[destination] = None
--- a/honeybarrow/fleet/failure_detector.py
+++ b/honeybarrow/fleet/failure_detector.py
@@ -1,4 +1,4 @@
-"""SWIM's failure detector: probes one member a period, directly and then through others.
+"""SWIM failure detector: probes one member per protocol period, first directly, then through helpers.
 
 No I/O and no clock: times are microseconds of the caller's monotonic clock. Messages to send go to the
 caller's :class:`ActionQueue`, suspicions to the :class:`MemberTable`.
@@ -16,18 +16,18 @@
 
 @dataclass(slots=True)
 class PendingProbe:
-    """A probe without an answer yet: our own, or one that we make for ``requester``."""
+    """An unanswered probe, started by this member or on behalf of ``requester``."""
 
     target: str
     due_us: int
     requester_sequence_number: int = 0
     requester: str = ""
-    is_indirect: bool = False  # whether helpers were asked
-    silent_helpers: dict[str, None] = field(default_factory=dict)  # that owe an ack or a nack
+    is_indirect: bool = False  # helpers were asked to probe the target
+    silent_helpers: dict[str, None] = field(default_factory=dict)  # helpers without an ack or nack
 
 
 class FailureDetector:
-    """Probes members in turn, and suspects those that neither answer nor are heard of by helpers."""
+    """Probes members in random order and suspects those that answer neither directly nor through helpers."""
 
     def __init__(
         self,
@@ -38,24 +38,24 @@
         actions: ActionQueue,
     ) -> None:
         self.table, self.config, self.health, self.rng, self._actions = table, config, health, rng, actions
-        self._pending: dict[int, PendingProbe] = {}  # by our sequence number
-        self._probe_order: list[str] = []  # shuffled anew each time all were probed
+        self._pending: dict[int, PendingProbe] = {}  # by sequence number
+        self._probe_order: list[str] = []  # reshuffled after each round
         self._last_sequence_number = 0
 
     @property
     def due_us(self) -> int:
-        """When the next probe times out."""
+        """Time at which the next probe times out."""
         return min((probe.due_us for probe in self._pending.values()), default=NEVER_US)
 
     def ping(self, name: str) -> int:
-        """Send a direct probe; its sequence number."""
+        """Send a direct probe and return its sequence number."""
         self._last_sequence_number += 1
         number = self._last_sequence_number
         self.send(name, Ping(number, self.table.updates_for(name)))
         return number
 
     def probe_next_member(self, now_us: int) -> None:
-        """Probe the next live member in the round, if there is one."""
+        """Probe the next live member of the current round, if any."""
         while True:
             if not self._probe_order:
                 self._probe_order = self.table.live_names()
@@ -69,15 +69,15 @@
         self._pending[self.ping(name)] = PendingProbe(name, due_us)
 
     def probe_for(self, now_us: int, requester: str, sequence_number: int, target: str) -> None:
-        """Probe a known member for another one."""
-        # Danger: each request is kept until it is answered; strangers could ask without end.
+        """Probe ``target`` on behalf of ``requester``."""
+        # Pending requests are bounded, so that unknown senders can't exhaust memory.
         if target not in self.table.records or len(self._pending) >= self.config.max_members:
             return
         due_us = now_us + self.config.ping_timeout_us
         self._pending[self.ping(target)] = PendingProbe(target, due_us, sequence_number, requester)
 
     def handle_ack(self, sequence_number: int) -> None:
-        """The target of a probe is alive; an ack to no pending probe changes nothing."""
+        """Complete a pending probe, and relay the ack to its requester; unknown acks are ignored."""
         probe = self._pending.pop(sequence_number, None)
         if probe is None:
             return
@@ -88,12 +88,12 @@
             self.health.improve()
 
     def handle_nack(self, sender: str, sequence_number: int) -> None:
-        """A helper is alive, though it has heard nothing of the target."""
+        """Record that a helper is alive although it got no answer from the target."""
         if (probe := self._pending.get(sequence_number)) is not None:
             probe.silent_helpers.pop(sender, None)
 
     def handle_timeouts(self, now_us: int) -> None:
-        """Go on with each probe whose time is over: ask helpers, then suspect the target."""
+        """Escalate each probe that has timed out: ask helpers, then suspect the target."""
         for number, probe in [each for each in self._pending.items() if each[1].due_us <= now_us]:
             self._handle_timeout(now_us, number, probe)
 
@@ -106,15 +106,15 @@
         if not probe.is_indirect and self._ask_helpers(now_us, number, probe):
             return
         del self._pending[number]
-        # Danger: a member that hears nobody takes all others for dead. The helpers must at least have sent a
-        # nack; each that did not is a sign that the fault is on this side, and slows our judgement.
+        # A disconnected member would suspect all others. Live helpers send at least a nack, so each missing
+        # nack indicates a local fault and lengthens the local timeouts.
         self.health.degrade(1 + len(probe.silent_helpers))
         record = self.table.records.get(probe.target)
         if record is not None and record.update.is_live:
             self.table.suspect(now_us, record, self.table.local_member.name)
 
     def _ask_helpers(self, now_us: int, number: int, probe: PendingProbe) -> bool:
-        """Ask other members to probe; whether there is any to ask."""
+        """Send indirect pings through other live members; return whether there are any."""
         candidates = [name for name in self.table.live_names() if name != probe.target]
         helpers = self.sample(candidates, self.config.indirect_ping_count)
         probe.is_indirect, probe.silent_helpers = True, dict.fromkeys(helpers)
@@ -125,13 +125,13 @@
         return bool(helpers)
 
     def forget_probes(self) -> None:
-        """Drop all pending probes without judging anybody."""
+        """Discard all pending probes without suspecting their targets."""
         self._pending.clear()
 
     def sample(self, names: list[str], maximum: int) -> list[str]:
-        """Up to ``maximum`` of the names, drawn at random."""
+        """Return a random sample of up to ``maximum`` names."""
         return self.rng.sample(names, min(maximum, len(names)))
 
     def send(self, to: str, message: SwimMessage) -> None:
-        """Queue a message."""
+        """Queue a message for sending."""
         self._actions.put(SendMessage(to, message))
--- a/honeybarrow/fleet/member_table.py
+++ b/honeybarrow/fleet/member_table.py
@@ -1,4 +1,4 @@
-"""The members that one member knows of: merging of updates, suspicion and its timeout, and gossip.
+"""Table of the known fleet members: merges updates, tracks suspicions and selects updates to gossip.
 
 No I/O and no clock: times are microseconds of the caller's monotonic clock. Changes are reported as actions
 in the caller's :class:`ActionQueue`.
@@ -25,65 +25,65 @@
 
 
 class ActionQueue:
-    """Actions in the order in which they were decided, until the caller takes them."""
+    """FIFO queue of actions for the caller."""
 
     def __init__(self) -> None:
         self._actions: list[MembershipAction] = []
 
     def put(self, action: MembershipAction) -> None:
-        """Add an action behind the others."""
+        """Append an action."""
         self._actions.append(action)
 
     def take(self) -> list[MembershipAction]:
-        """All actions since the last call."""
+        """Return and remove all queued actions."""
         actions, self._actions = self._actions, []
         return actions
 
 
 class LocalHealth:
-    """Lifeguard's local health: how much this member doubts itself, from 0 (healthy) to ``maximum``."""
+    """Lifeguard's local health multiplier, from 0 (healthy) to ``maximum``."""
 
     def __init__(self, maximum: int) -> None:
         self.maximum, self.value = maximum, 0
 
     @property
     def multiplier(self) -> int:
-        """By what timeouts and the protocol period are stretched."""
+        """Factor applied to timeouts and the protocol period."""
         return 1 + self.value
 
     def degrade(self, amount: int = 1) -> None:
-        """Record signs that the fault is on this side."""
+        """Record evidence that this member itself is slow or disconnected."""
         self.value = min(self.maximum, self.value + amount)
 
     def improve(self) -> None:
-        """Record that a probe was answered."""
+        """Record an answered probe."""
         self.value = max(0, self.value - 1)
 
 
 class GossipQueue:
-    """Names of the members whose update is to be gossiped, and how often each has been sent."""
+    """Members whose updates are pending for gossip, with the number of transmissions of each."""
 
     def __init__(self, name: str) -> None:
         self._transmissions = {name: 0}
 
     def enqueue(self, name: str) -> None:
-        """Send the update of this member anew."""
+        """Add a member, or reset its transmission count."""
         self._transmissions[name] = 0
 
     def discard(self, name: str) -> None:
-        """Send nothing more of this member."""
+        """Remove a member."""
         self._transmissions.pop(name, None)
 
     def clear(self) -> None:
-        """Send nothing more."""
+        """Remove all members."""
         self._transmissions.clear()
 
     def in_order(self) -> list[str]:
-        """The least sent first, then by name."""
+        """Return the names by ascending transmission count, then by name."""
         return sorted(self._transmissions, key=lambda name: (self._transmissions[name], name))
 
     def record_transmission(self, name: str, max_transmissions: int) -> None:
-        """Count one more; the update is dropped from the queue once it was sent often enough."""
+        """Count a transmission, and remove the member once it reaches ``max_transmissions``."""
         self._transmissions[name] += 1
         if self._transmissions[name] >= max_transmissions:
             del self._transmissions[name]
@@ -91,11 +91,11 @@
 
 @dataclass(slots=True)
 class MemberRecord:
-    """One other member: the update that holds, since when, and its suspicion."""
+    """State of one remote member: its current update, the time of that update, and its suspicion."""
 
     update: MemberUpdate
     state_since_us: int
-    suspicion_deadline_us: int = NEVER_US  # when a suspect is declared dead unless it refutes
+    suspicion_deadline_us: int = NEVER_US
     suspected_at_us: int = 0
     suspecters: dict[str, None] = field(default_factory=dict)
 
@@ -103,7 +103,7 @@
 def suspicion_timeout_us(
     config: SwimConfig, member_count: int, confirmations: int, expected_confirmations: int
 ) -> int:
-    """How long a suspect has to refute: shorter with each independent confirmation (Lifeguard)."""
+    """Return the suspicion timeout, which shrinks with each independent confirmation (Lifeguard)."""
     minimum = config.suspicion_multiplier * max(1.0, math.log10(member_count + 1)) * config.protocol_period_us
     maximum = minimum * config.max_suspicion_multiplier
     shrunk = maximum - (maximum - minimum) * math.log(confirmations + 1) / math.log(
@@ -113,14 +113,14 @@
 
 
 class MemberTable:
-    """The local member and all others that it knows of."""
+    """The local member and all remote members known to it."""
 
     def __init__(
         self, local_member: MemberUpdate, config: SwimConfig, health: LocalHealth, actions: ActionQueue
     ) -> None:
         self.local_member, self.config = local_member, config
         self.records: dict[str, MemberRecord] = {}
-        self.dropped_updates = 0  # of members beyond max_members
+        self.dropped_updates = 0  # updates of members beyond max_members
         self._health, self._actions = health, actions
         self._gossip = GossipQueue(local_member.name)
         self._incarnation_bumps_us: list[int] = []
@@ -128,26 +128,26 @@
     # queries
 
     def member_list(self) -> tuple[MemberUpdate, ...]:
-        """All members, the local one first."""
+        """Return the updates of all members, the local one first."""
         return (self.local_member, *(record.update for record in self.records.values()))
 
     def live_names(self) -> list[str]:
-        """Names of the other members that are alive or only suspected."""
+        """Return the names of the remote members that are alive or suspected."""
         return [name for name, record in self.records.items() if record.update.is_live]
 
     def is_live(self, name: str) -> bool:
-        """Whether this is another member that is alive or only suspected."""
+        """Return whether ``name`` is a remote member that is alive or suspected."""
         return name in self.records and self.records[name].update.is_live
 
     @property
     def due_us(self) -> int:
-        """When the next suspicion runs out."""
+        """Time at which the next suspicion expires."""
         return min((record.suspicion_deadline_us for record in self.records.values()), default=NEVER_US)
 
     # changes
 
     def apply_update(self, now_us: int, update: MemberUpdate) -> None:
-        """Merge an update; one that is older than what is known changes nothing."""
+        """Merge an update; an outdated update has no effect."""
         if update.name == self.local_member.name:
             self._refute(now_us, update)
             return
@@ -170,7 +170,7 @@
             self.dropped_updates += 1
             return
         if update.state is MemberState.LEFT:
-            return  # nothing is lost by not knowing it, and stale updates would keep it known for ever
+            return  # adding it would let stale updates keep a departed member in the table forever
         record = self.records[update.name] = MemberRecord(update, now_us)
         self._gossip.enqueue(update.name)
         self._actions.put(MemberChanged(update, None))
@@ -184,7 +184,7 @@
         self._actions.put(MemberChanged(update, previous))
 
     def suspect(self, now_us: int, record: MemberRecord, suspected_by: str) -> None:
-        """Suspect a member, or confirm its suspicion: the more suspect it, the sooner it is declared dead."""
+        """Suspect a member or confirm an existing suspicion; each confirmation shortens its timeout."""
         if record.update.state is not MemberState.SUSPECT:
             suspect = replace(record.update, state=MemberState.SUSPECT, suspected_by=suspected_by)
             self._replace(now_us, record, suspect)
@@ -194,31 +194,31 @@
         if suspected_by not in record.suspecters and len(record.suspecters) <= expected:
             record.suspecters[suspected_by] = None
             if len(record.suspecters) > 1:
-                self._gossip.enqueue(record.update.name)  # a confirmation is worth sending again
-        confirmations = len(record.suspecters) - 1  # besides the first suspicion
+                self._gossip.enqueue(record.update.name)  # gossip the confirmation
+        confirmations = len(record.suspecters) - 1  # the first suspicion is not a confirmation
         timeout_us = suspicion_timeout_us(self.config, len(self.records), confirmations, expected)
         record.suspicion_deadline_us = record.suspected_at_us + timeout_us
 
     def declare_dead(self, now_us: int) -> None:
-        """Declare those dead whose suspicion has run out."""
+        """Declare dead the suspects whose timeout has expired."""
         for record in [each for each in self.records.values() if each.suspicion_deadline_us <= now_us]:
             dead = replace(record.update, state=MemberState.DEAD, suspected_by="")
             self.apply_update(now_us, dead)
 
     def extend_suspicions(self, extra_us: int) -> None:
-        """Give all suspects more time to refute."""
+        """Postpone the deadline of each suspicion by ``extra_us``."""
         for record in self.records.values():
             if record.suspicion_deadline_us < NEVER_US:
                 record.suspicion_deadline_us += extra_us
 
     def leave(self) -> None:
-        """Mark the local member as left; nothing else is gossiped from now on."""
+        """Mark the local member as left and stop gossiping other updates."""
         self.local_member = replace(self.local_member, state=MemberState.LEFT)
         self._gossip.clear()
         self._gossip.enqueue(self.local_member.name)
 
     def forget_left_members(self, now_us: int) -> None:
-        """Drop members that left longer ago than ``left_retention_us``."""
+        """Remove members that left more than ``left_retention_us`` ago."""
         expired = [
             name
             for name, record in self.records.items()
@@ -230,10 +230,10 @@
             self._gossip.discard(name)
 
     def _refute(self, now_us: int, update: MemberUpdate) -> None:
-        """Answer an update of the local member itself: outbid what is wrong."""
+        """Supersede an incorrect update about the local member."""
         local = self.local_member
         if update.incarnation > local.incarnation:
-            # An earlier process of this name had a later incarnation: its clock was ahead, or it still runs.
+            # A previous process of this name had a later incarnation: its clock was ahead, or it is running.
             window_start_us = now_us - INCARNATION_BUMP_WINDOW_US
             recent = [at_us for at_us in self._incarnation_bumps_us if at_us > window_start_us]
             self._incarnation_bumps_us = [*recent[: self.config.max_incarnation_bumps], now_us]
@@ -255,11 +255,11 @@
     # gossip
 
     def updates_for(self, receiver: str) -> tuple[MemberUpdate, ...]:
-        """The updates to send along with a message: what the receiver must refute, then the least sent."""
+        """Return the updates to piggyback: one for the receiver to refute, then the least transmitted."""
         selected: list[MemberUpdate] = []
         record = self.records.get(receiver)
         if record is not None and record.update.state is not MemberState.ALIVE:
-            selected.append(record.update)  # so that it can refute at once
+            selected.append(record.update)  # lets the receiver refute immediately
         max_transmissions = math.ceil(self.config.retransmit_multiplier * math.log2(len(self.records) + 2))
         for name in self._gossip.in_order():
             if len(selected) >= self.config.max_updates_per_message:
--- a/honeybarrow/fleet/membership.py
+++ b/honeybarrow/fleet/membership.py
@@ -1,18 +1,18 @@
-"""Membership of the fleet: SWIM with Lifeguard's extensions, independent of the transport. No I/O, no clock.
+"""Fleet membership: SWIM with the Lifeguard extensions, as a state machine without I/O or clock.
 
-Each member probes one other member a period; if no answer comes, a few others probe it in its place; if they
-hear nothing either, the member is suspected, told so, and declared dead only after a time in which it did not
-refute. Updates are gossiped on the probes and their answers, a bounded number on each message, so that what
-a member sends does not grow with the fleet. Whole member lists are exchanged now and then (push-pull), which
-also joins a fleet that was partitioned.
+In each protocol period a member probes one other member. If the target does not answer, a few other members
+probe it indirectly; if none of them gets an answer, the target is suspected. A suspect is declared dead
+unless it refutes the suspicion before the timeout. Updates are piggybacked on probes and acks, with a bounded
+number per message, so the traffic of a member is independent of the fleet size. Members periodically exchange
+full member lists (push-pull), which also merges a fleet that was partitioned.
 
-Sources: Das, Gupta, Motivala, "SWIM" (2002); Dadgar, Phillips, Currey, "Lifeguard" (2018). What differs: a
-member has an incarnation (one number for each process) beside its count of refutations, so that a restart
-under the same name is distinguished from the process before it; and a process that was paused judges nobody
-by answers that it had no time to read.
+Sources: Das, Gupta, Motivala, "SWIM" (2002); Dadgar, Phillips, Currey, "Lifeguard" (2018). Differences: a
+member has an incarnation per process in addition to its refutation count, which distinguishes a restarted
+process from its predecessor under the same name; and a process that was paused discards its pending probes,
+because it had no time to read the answers.
 
-Times are microseconds of a monotonic clock that the caller hands in. Members are named; where a name is
-reached is the transport's matter, and ``address`` is carried along unread.
+Times are microseconds of the caller's monotonic clock. Members are identified by name; the transport resolves
+names, and ``address`` is passed through unparsed.
 """
 
 from __future__ import annotations
@@ -40,10 +40,10 @@
 
 
 class Membership:
-    """One member's view of the fleet.
+    """The fleet as seen by one member.
 
-    Feed it messages and time, carry out the returned actions in their order, and call :meth:`wake` at
-    ``due_us``. Raises ``InvalidValueError`` for peers that are named twice or include this member.
+    The caller passes in messages and the current time, performs the returned actions in order, and calls
+    :meth:`wake` at ``due_us``. Raises ``InvalidValueError`` if ``peers`` has duplicates or includes ``name``.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         config: SwimConfig | None = None,
     ) -> None:
         if name in peers or len({peer: None for peer in peers}) != len(peers):
-            raise InvalidValueError("peers: each other member once, and not this one")
+            raise InvalidValueError("peers must list each other member once and must not include this member")
         self.config = config or SwimConfig()
         self.peers, self.rng = tuple(peers), rng
         self.has_left = False
@@ -67,7 +67,7 @@
         self._table = MemberTable(local_member, self.config, self._health, self._actions)
         self._detector = FailureDetector(self._table, self.config, self._health, rng, self._actions)
         self._next_period_us = self._next_push_pull_us = NEVER_US
-        # until the next push-pull; grows up to the configured interval
+        # Doubles after each push-pull, up to the configured interval.
         self._push_pull_gap_us = min(self.config.push_pull_interval_us, 2 * self.config.protocol_period_us)
         self._has_joined = False
 
@@ -75,7 +75,7 @@
 
     @property
     def local_member(self) -> MemberUpdate:
-        """What this member says of itself."""
+        """The update that this member announces about itself."""
         return self._table.local_member
 
     @property
@@ -85,12 +85,12 @@
 
     @property
     def local_health(self) -> int:
-        """Lifeguard's local health: 0 is healthy."""
+        """Lifeguard's local health multiplier; 0 is healthy."""
         return self._health.value
 
     @property
     def dropped_updates(self) -> int:
-        """Updates that were dropped for want of room."""
+        """Number of updates dropped because the member table was full."""
         return self._table.dropped_updates
 
     @property
@@ -99,20 +99,20 @@
         return self._has_joined
 
     def member_list(self) -> tuple[MemberUpdate, ...]:
-        """All that is known, this member first: one side of a push-pull exchange."""
+        """Return the updates of all members, this one first: one side of a push-pull exchange."""
         return self._table.member_list()
 
     def live_members(self) -> list[MemberUpdate]:
-        """Members that are alive or only suspected, this one included unless it has left."""
+        """Return the members that are alive or suspected, including this one unless it has left."""
         return [update for update in self.member_list() if update.is_live]
 
     def known_members(self) -> list[MemberUpdate]:
-        """Members that belong to the fleet, dead or alive: what a majority is counted of."""
+        """Return the members that have not left, dead ones included: the basis for a majority."""
         return [update for update in self.member_list() if update.state is not MemberState.LEFT]
 
     @property
     def due_us(self) -> int:
-        """When to call :meth:`wake`, if nothing happens before."""
+        """Time of the next call of :meth:`wake`, if no event comes first."""
         if self.has_left:
             return NEVER_US
         return min(self._next_period_us, self._next_push_pull_us, self._detector.due_us, self._table.due_us)
@@ -120,17 +120,17 @@
     # events
 
     def set_address(self, address: str) -> None:
-        """Announce this address; to be called before :meth:`start`."""
+        """Set the address to announce; call before :meth:`start`."""
         self._table.local_member = replace(self._table.local_member, address=address)
 
     def start(self, now_us: int) -> list[MembershipAction]:
-        """Begin: ask the configured peers for their member lists until one has answered."""
+        """Start probing, and request member lists from the configured peers until one answers."""
         self._next_period_us = now_us + int(self.config.protocol_period_us * self.rng.random())
         self._next_push_pull_us = now_us
         return self._actions.take()
 
     def leave(self) -> list[MembershipAction]:
-        """Announce the leave to a few members; they gossip it to the others."""
+        """Announce the departure to a few members, which gossip it to the others."""
         self._table.leave()
         for name in self._detector.sample(self._table.live_names(), self.config.indirect_ping_count * 2):
             self._detector.ping(name)
@@ -138,7 +138,7 @@
         return self._actions.take()
 
     def wake(self, now_us: int) -> list[MembershipAction]:
-        """Do what is due: probe timeouts, expired suspicions, push-pull and the next probe, in this order."""
+        """Run what is due, in this order: probe timeouts, expired suspicions, push-pull, next probe."""
         if self.has_left or now_us < self.due_us:
             return []
         late_us = now_us - self.due_us
@@ -155,7 +155,7 @@
         return self._actions.take()
 
     def handle_message(self, now_us: int, sender: str, message: SwimMessage) -> list[MembershipAction]:
-        """Handle a message. A stranger is answered too: it may have heard of this member from others."""
+        """Handle a message. Unknown senders are answered too, as they may know this member from others."""
         if self.has_left:
             return []
         for update in message.updates[: self.config.max_updates_per_message]:
@@ -172,17 +172,17 @@
         return self._actions.take()
 
     def merge_member_list(self, now_us: int, updates: Iterable[MemberUpdate]) -> list[MembershipAction]:
-        """Merge the other side of a push-pull exchange, whoever began it."""
+        """Merge the remote member list of a push-pull exchange that either side started."""
         self._has_joined = True
         for update in updates:
             self._table.apply_update(now_us, update)
         return self._actions.take()
 
-    # parts of a wake
+    # timers
 
     def _recover_from_pause(self, now_us: int, late_us: int) -> None:
-        # Danger: this process had no time: answers lie unread, and all others would look silent. Pending
-        # probes are forgotten, and suspects get the time back in which nobody could be heard.
+        # After a pause, answers are still unread in the socket and every probe would time out. Discard the
+        # pending probes, and extend suspicions by the time in which no refutation could be received.
         self._health.degrade()
         self._detector.forget_probes()
         self._table.extend_suspicions(late_us + self.config.protocol_period_us)
@@ -192,18 +192,20 @@
         if not self._has_joined:
             delay_us = int(self.config.protocol_period_us * self.rng.uniform(1, 2))
             self._next_push_pull_us = now_us + delay_us
-            self._push_pull_with_one_of(list(self.peers))
+            self._push_pull_with_random_member(list(self.peers))
             return
-        # Danger: of many that start at once, each may have exchanged lists with one that knew nobody. So the
-        # first exchanges follow soon one after another.
+        # When many members start at once, the first exchange may be with a peer that knows no other member,
+        # so the first few exchanges follow each other at short intervals.
         self._next_push_pull_us = now_us + int(self._push_pull_gap_us * self.rng.uniform(0.75, 1.25))
         self._push_pull_gap_us = min(self.config.push_pull_interval_us, self._push_pull_gap_us * 2)
-        # Danger: the parts of a partitioned fleet hold each other for dead and never probe again. So a
-        # configured peer that is not known to be live is asked now and then whether it is back.
-        lost = [name for name in self.peers if not self._table.is_live(name)]
-        candidates = lost if lost and self.rng.random() < 0.5 else self._table.live_names()
-        self._push_pull_with_one_of(candidates or lost)
-
-    def _push_pull_with_one_of(self, names: list[str]) -> None:
+        # After a partition, each side considers the other dead and stops probing it. Push-pull with
+        # configured peers that are not live lets the two sides merge again.
+        unreachable_peers = [name for name in self.peers if not self._table.is_live(name)]
+        candidates = (
+            unreachable_peers if unreachable_peers and self.rng.random() < 0.5 else self._table.live_names()
+        )
+        self._push_pull_with_random_member(candidates or unreachable_peers)
+
+    def _push_pull_with_random_member(self, names: list[str]) -> None:
         for name in self._detector.sample(names, 1):
             self._actions.put(PushPull(name))
--- a/honeybarrow/fleet/membership_messages.py
+++ b/honeybarrow/fleet/membership_messages.py
@@ -1,7 +1,7 @@
-"""Messages between members of a fleet, and the actions that membership asks its caller to carry out.
+"""Messages between fleet members, and the actions that membership returns to its caller.
 
-The structs are arrays on the wire: the order of their fields and the ``tag`` numbers are the format, names
-are not. What is read is bounded as it is decoded: length of names, size of numbers, count of updates.
+The structs are encoded as arrays: field order and ``tag`` numbers are the wire format, field names are not.
+Decoding enforces bounds on the length of names, the size of integers and the number of updates.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 
 class MemberState(enum.IntEnum):
-    """State of a member. Of two updates with equal incarnation and refutations, the greater state wins."""
+    """State of a member. For equal incarnation and refutations, the update with the greater state wins."""
 
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
-    LEFT = 3  # announced by the member itself, and final for its incarnation
+    LEFT = 3  # announced by the member itself; final for its incarnation
 
 
 MemberName = Annotated[str, Meta(max_length=64)]
@@ -29,10 +29,10 @@
 
 
 class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of one member, as it is gossiped.
+    """Gossiped state of one member.
 
-    ``incarnation`` tells one process under this name from the next; ``refutations`` counts how often that
-    process has refuted a suspicion. ``suspected_by`` names the member that suspects it, if any does.
+    ``incarnation`` identifies the process under this name; ``refutations`` counts the suspicions that this
+    process has refuted. ``suspected_by`` is the name of the suspecting member, or empty.
     """
 
     name: MemberName
@@ -44,7 +44,7 @@
     suspected_by: MemberName = ""
 
     def supersedes(self, other: MemberUpdate) -> bool:
-        """Whether this replaces ``other``: later incarnation, then leave, then refutations, then state."""
+        """Return whether this replaces ``other``, comparing incarnation, departure, refutations and state."""
         return self._precedence() > other._precedence()
 
     def _precedence(self) -> tuple[int, bool, int, int]:
@@ -52,31 +52,31 @@
 
     @property
     def is_live(self) -> bool:
-        """Whether the member is probed and sent to: alive as far as is known, or only suspected."""
+        """Whether the member is alive or suspected, and so is still probed and receives messages."""
         return self.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
 
 MemberUpdates = Annotated[tuple[MemberUpdate, ...], Meta(max_length=64)]
 
-# --- messages: each also carries gossiped updates --------------------------------------------------
+# --- messages, each with piggybacked updates -------------------------------------------------------
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Direct probe: the receiver answers with an :class:`Ack` of the same sequence number."""
+    """Direct probe; the receiver answers with an :class:`Ack` with the same sequence number."""
 
     sequence_number: WireInteger
     updates: MemberUpdates = ()
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Answer to a probe, from the probed member or relayed by a helper."""
+    """Answer to a probe, sent by the probed member or relayed by a helper."""
 
     sequence_number: WireInteger
     updates: MemberUpdates = ()
 
 
 class IndirectPing(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Asks the receiver to probe ``target`` for the sender, and to answer with a nack if it hears nothing."""
+    """Request to probe ``target`` for the sender; answered by an ack, or by a nack after a timeout."""
 
     sequence_number: WireInteger
     target: MemberName
@@ -84,7 +84,7 @@
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """Answer to an indirect ping: the target has not answered yet, but the helper itself is alive."""
+    """Answer to an indirect ping: the helper is alive but has no answer from the target."""
 
     sequence_number: WireInteger
     updates: MemberUpdates = ()
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a message to a member as a datagram; it may be lost."""
+    """Send a message to a member as a datagram, without delivery guarantee."""
 
     to: str
     message: SwimMessage
@@ -105,9 +105,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PushPull:
-    """Exchange whole member lists with a peer over a stream (anti-entropy).
+    """Exchange full member lists with a peer over a stream (anti-entropy).
 
-    :meth:`Membership.member_list` goes out; what comes back goes to :meth:`Membership.merge_member_list`.
+    Send :meth:`Membership.member_list` and pass the reply to :meth:`Membership.merge_member_list`.
     """
 
     peer: str
@@ -115,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """What is known of a member has changed; ``previous`` is ``None`` for a new member."""
+    """The known state of a member has changed; ``previous`` is ``None`` for a new member."""
 
     update: MemberUpdate
     previous: MemberUpdate | None
@@ -123,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NameConflict:
-    """Updates of this member's name keep coming with later incarnations: another process uses the name."""
+    """Another process uses this member's name: updates with later incarnations keep arriving."""
 
     incarnation: int
 
--- a/honeybarrow/fleet/replication.py
+++ b/honeybarrow/fleet/replication.py
@@ -1,18 +1,18 @@
 """Replication of one incarnation's log: append, acknowledge, fence, fail over. No I/O, no clock.
 
-Three roles exchange messages that may be lost, repeated or reordered. The *primary* appends records and knows
-which of them a quorum of replicas has stored. A *replica* stores records in order and acknowledges what it
-has. A *successor* runs a failover: it fences the log, so that replicas accept nothing more from the primary
-or from an earlier successor. With replies from so many replicas that no acknowledging quorum is left, the
-successor has seen every record that the primary may have committed; it stores what it read on a quorum again,
-and only then acts on it.
+Three roles exchange messages that may be lost, duplicated or reordered. The *primary* appends records and
+tracks which of them a quorum of replicas has stored. A *replica* stores records in order and acknowledges
+them. A *successor* runs a failover: it fences the log, so that replicas reject further records from the
+primary or an earlier successor. Once enough replicas are fenced that the remaining ones can't form an ack
+quorum, the successor has read every record that the primary may have committed. It stores these records on a
+quorum again before it acts on them.
 
 Sources: BookKeeper (ledgers, ensembles with an ack quorum, fencing, and rewriting the tail during recovery;
 Junqueira, Kelly, Reed 2013) and Viewstamped Replication (Liskov, Cowling 2012: a replica that lost its disk
-is a different one until it has caught up). No clock decides who may write.
+is a different one until it has caught up). Write permission does not depend on clocks.
 
-With ``n`` replicas and an ack quorum of ``a``, ``n - a`` replicas may lose their disks without losing a
-committed record, and a failover needs ``n - a + 1`` replies. The ensemble of a log can't change yet.
+With ``n`` replicas and an ack quorum of ``a``, ``n - a`` replicas can lose their disks without losing a
+committed record, and a failover needs ``n - a + 1`` replies. The ensemble of a log is fixed.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 
 
 class LogId(NamedTuple):
-    """Identifies a log: the primary that writes it, and that primary's incarnation."""
+    """Identity of a log: its primary and the primary's incarnation."""
 
     primary: str
     incarnation: int
 
 
 class ReplicaId(NamedTuple):
-    """Identifies a replica: its name, and the incarnation of its disk."""
+    """Identity of a replica: its name and the incarnation of its disk."""
 
     name: str
     incarnation: int
@@ -41,13 +41,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicatedLog:
-    """Describes a log: its primary and the primary's incarnation, its replicas, and the size of a quorum.
+    """Description of a log: its primary, the primary's incarnation, its replicas and the ack quorum.
 
-    Raises ``ValueError`` for an ensemble that can't keep its promises.
+    A replica that lost its disk has lost acknowledged records and accepted fences; as the same replica it
+    could acknowledge records of a fenced primary. So the incarnation of its disk is part of its identity.
 
-    Danger: a replica that lost its disk has lost records that it acknowledged and fences that it accepted.
-    If it still counted as the same replica, it could acknowledge to a primary that is fenced. So the
-    incarnation of its disk is part of its identity.
+    Raises ``ValueError`` for duplicate replicas, a primary among them, or an unsafe ack quorum.
     """
 
     primary: str
@@ -57,30 +56,30 @@
 
     def __post_init__(self) -> None:
         if len(dict.fromkeys(self.replica_names)) < len(self.replicas) or self.primary in self.replica_names:
-            raise InvalidValueError("replicas: each once, and not the primary")
+            raise InvalidValueError("replicas must be distinct and must not include the primary")
         if not 0 < self.ack_quorum <= len(self.replicas):
-            raise InvalidValueError("ack_quorum lies between 1 and the number of replicas")
+            raise InvalidValueError("ack_quorum must be between 1 and the number of replicas")
         if 2 * self.ack_quorum <= len(self.replicas):
-            # Danger: two quorums that share no replica could store two different records under one index.
-            raise InvalidValueError("ack_quorum is more than half of the replicas")
+            # Disjoint quorums could store different records under the same index.
+            raise InvalidValueError("ack_quorum must be more than half of the number of replicas")
 
     @property
     def replica_names(self) -> tuple[str, ...]:
-        """The names of the replicas, without the incarnations of their disks."""
+        """Names of the replicas, without disk incarnations."""
         return tuple(name for name, _ in self.replicas)
 
     def includes(self, replica: str, incarnation: int) -> bool:
-        """Whether this replica, with the disk of this incarnation, stores the log."""
+        """Return whether the log has this replica with this disk incarnation."""
         return (replica, incarnation) in self.replicas
 
     @property
     def recovery_quorum(self) -> int:
-        """The number of fenced replicas that leaves no quorum able to acknowledge to the primary."""
+        """Number of fenced replicas after which the others can't form an ack quorum."""
         return len(self.replicas) - self.ack_quorum + 1
 
     @property
     def log_id(self) -> LogId:
-        """What replies name the log by."""
+        """Identity of the log in replies."""
         return LogId(self.primary, self.incarnation)
 
 
@@ -89,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendRecords:
-    """Store these records, indexed from ``first_index``; those below ``low_water_mark`` may be deleted."""
+    """Request to store records from ``first_index`` on; those below ``low_water_mark`` may be deleted."""
 
     log: ReplicatedLog
     term: int
@@ -100,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendAck:
-    """This incarnation of the replica stores all records below ``end_index``."""
+    """Acknowledgement: this incarnation of the replica stores all records below ``end_index``."""
 
     log_id: LogId
     term: int
@@ -110,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestRejected:
-    """Not stored: the log is fenced at the higher ``term``, or the replica ``is_unavailable``.
+    """Rejection: the log is fenced at the higher ``term``, or the replica ``is_unavailable``.
 
     A replica is unavailable when it has no capacity left or is no longer the incarnation that the log names.
     """
@@ -122,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FenceRequest:
-    """Reject everything of a lower term from now on, and reply with the records that are stored."""
+    """Request to reject all requests of lower terms and to reply with the stored records."""
 
     log: ReplicatedLog
     term: int
@@ -130,7 +129,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FenceReply:
-    """The log is fenced. Its records from ``low_water_mark`` on, the last stored in ``last_append_term``."""
+    """Reply of a fenced replica with its records from ``low_water_mark`` on.
+
+    ``last_append_term`` is the term in which they were last written.
+    """
 
     log_id: LogId
     term: int
@@ -145,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """An action: send a message to a member. It may be lost."""
+    """Action: send a message to a member, without delivery guarantee."""
 
     recipient: str
     message: Message
@@ -155,24 +157,24 @@
 
 
 class PrimaryState(enum.Enum):
-    """Whether the primary may still write its log."""
+    """Whether the primary may write to its log."""
 
     OPEN = "open"
-    FENCED = "fenced"  # a successor has taken over: nothing more may be accepted or begun
+    FENCED = "fenced"  # a successor has taken over; no new work may be accepted or started
 
 
 @dataclass(slots=True)
 class _ReplicaProgress:
-    """What a replica stores, as far as it has acknowledged."""
+    """Acknowledged progress of one replica."""
 
     acked_end_index: int = 0
-    is_unavailable: bool = False  # another replica has to take its place
+    is_unavailable: bool = False  # needs to be replaced
 
 
 class Primary:
-    """Appends records and tracks which of them are committed. A successor writes with it too, in its term.
+    """Writer of a log, which appends records and tracks which are committed; successors use it in their term.
 
-    ``max_unacked_records`` bounds the records that no quorum has stored yet.
+    ``max_unacked_records`` limits the records that are not yet stored by a quorum.
     """
 
     def __init__(
@@ -184,30 +186,32 @@
     ) -> None:
         self.log, self.term, self.max_unacked_records = log, term, max_unacked_records
         self.state = PrimaryState.OPEN
-        self.low_water_mark = low_water_mark  # records below it are completed
-        self.committed_end_index = low_water_mark  # records below it are stored by a quorum
+        self.low_water_mark = low_water_mark  # records below this index are completed
+        self.committed_end_index = low_water_mark  # records below this index are stored by a quorum
         self.records: dict[int, bytes] = {}
         self.end_index = low_water_mark  # index of the next record
         self._progress = {name: _ReplicaProgress(low_water_mark) for name in log.replica_names}
 
     @property
     def can_append(self) -> bool:
-        """Whether the log is open and fewer records than the bound wait for a quorum."""
+        """Whether the log is open and fewer than ``max_unacked_records`` records are uncommitted."""
         uncommitted = self.end_index - self.committed_end_index
         return self.state is PrimaryState.OPEN and uncommitted < self.max_unacked_records
 
     def append(self, records: Iterable[bytes]) -> list[SendMessage]:
-        """Add records. Raises ``RuntimeError`` if the log is fenced or too many records are uncommitted."""
+        """Append records. Raises ``RuntimeError`` unless :attr:`can_append`."""
         if not self.can_append:
             uncommitted = self.end_index - self.committed_end_index
-            raise RuntimeError(f"the log is {self.state.value}, {uncommitted} records are not committed yet")
+            raise RuntimeError(
+                f"can't append: the log is {self.state.value}, {uncommitted} records are uncommitted"
+            )
         for record in records:
             self.records[self.end_index] = record
             self.end_index += 1
         return [self._append_to(name) for name in self.log.replica_names]
 
     def resend_unacked(self) -> list[SendMessage]:
-        """Send each replica what it has not acknowledged; to be called now and then, as messages are lost."""
+        """Send each replica its unacknowledged records; call periodically to recover lost messages."""
         if self.state is PrimaryState.FENCED:
             return []
         return [
@@ -217,17 +221,17 @@
         ]
 
     def release_records(self, low_water_mark: int) -> None:
-        """Let replicas delete the records below this index: they are completed, and committed before."""
+        """Allow replicas to delete the completed and committed records below this index."""
         self.low_water_mark = max(self.low_water_mark, min(low_water_mark, self.committed_end_index))
         for index in [index for index in self.records if index < self.low_water_mark]:
             del self.records[index]
 
     def handle_reply(self, sender: str, message: Message) -> bool:
-        """Apply a replica's reply; whether ``committed_end_index`` or ``state`` has changed."""
+        """Apply a replica's reply; return whether ``committed_end_index`` or ``state`` has changed."""
         progress = self._progress.get(sender)
         if progress is None or self.state is PrimaryState.FENCED:
             return False
-        before = self.committed_end_index
+        previous_end_index = self.committed_end_index
         match message:
             case AppendAck(log_id, term, end_index, incarnation) if (
                 log_id == self.log.log_id and term == self.term
@@ -244,10 +248,10 @@
         self.committed_end_index = max(
             self.committed_end_index, min(self.end_index, acked[self.log.ack_quorum - 1])
         )
-        return self.committed_end_index > before
+        return self.committed_end_index > previous_end_index
 
     def find_lagging_replicas(self) -> list[str]:
-        """Replicas that lack records or are unavailable, these first: candidates for replacement."""
+        """Return replicas to consider for replacement: the unavailable ones, then those that lack records."""
         lagging = [
             name
             for name, progress in self._progress.items()
@@ -268,7 +272,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaLimits:
-    """Bounds on the bytes that a replica stores, for one primary and in all."""
+    """Limits on the bytes that a replica stores, per primary and in total."""
 
     max_bytes_per_primary: int = 64 << 20
     max_bytes: int = 256 << 20
@@ -279,7 +283,7 @@
 
 @dataclass(slots=True)
 class _StoredLog:
-    """One log as a replica stores it."""
+    """State of one log on a replica."""
 
     log: ReplicatedLog
     min_term: int = 0  # requests of a lower term are rejected
@@ -297,9 +301,9 @@
 
 
 class Replica:
-    """Stores the logs of other members.
+    """Storage of the logs of other members.
 
-    Danger: a reply may only be sent once what it acknowledges is on disk. That is the caller's duty.
+    The caller must write the acknowledged records to disk before it sends a reply.
     """
 
     def __init__(self, name: str, incarnation: int, limits: ReplicaLimits = DEFAULT_REPLICA_LIMITS) -> None:
@@ -308,7 +312,7 @@
         self.size_bytes = 0
 
     def handle_request(self, sender: str, message: Message) -> list[SendMessage]:
-        """Apply a request of a primary or a successor, and reply to it."""
+        """Apply a request of a primary or successor and return the reply."""
         match message:
             case AppendRecords():
                 return [SendMessage(sender, self._append(message))]
@@ -317,7 +321,7 @@
         return []
 
     def delete_log(self, log_id: LogId) -> None:
-        """Forget a log that is closed and empty."""
+        """Delete a log that is closed and empty."""
         stored = self.stored_logs.pop(log_id, None)
         self.size_bytes -= stored.size_bytes if stored else 0
 
@@ -342,13 +346,13 @@
         if message.term < stored.min_term:
             return RequestRejected(log.log_id, stored.min_term)
         if message.term > stored.last_append_term:
-            # A new writer's records replace all others: what an earlier writer stored past their beginning
-            # may be a tail that the new one has not seen.
+            # The records of a new writer replace those of earlier writers from the first index on, because
+            # an earlier writer may have left a tail that the new one has not read.
             self._truncate(stored, max(first_index, stored.low_water_mark))
         stored.min_term = stored.last_append_term = message.term
         if first_index > stored.end_index and first_index <= message.low_water_mark:
             self._truncate(stored, stored.low_water_mark)
-            stored.low_water_mark = first_index  # everything before is completed
+            stored.low_water_mark = first_index  # all records before it are completed
         has_gap = first_index > stored.end_index
         new_records = () if has_gap else message.records[max(0, stored.end_index - first_index) :]
         if not self._has_capacity(log.primary, sum(map(len, new_records))):
@@ -386,21 +390,22 @@
 
 
 class Failover:
-    """Fences a log, reads it and stores it on a quorum again; the successor may act once it ``is_complete``.
+    """Failover of a log: fences it, reads it and stores it on a quorum again.
 
-    Raises ``ValueError`` for a term below 1, which is the primary's.
+    The successor may act on the records once ``is_complete``. Raises ``ValueError`` if ``term`` is less than
+    1, as the primary writes in term 0.
     """
 
     def __init__(self, log: ReplicatedLog, term: int) -> None:
         if term < 1:
-            raise InvalidValueError("term: the primary has 0, successors have more")
+            raise InvalidValueError("term must be at least 1, as term 0 belongs to the primary")
         self.log, self.term = log, term
         self.is_superseded = False  # another successor has a higher term
         self.primary: Primary | None = None
         self._fence_replies: dict[str, FenceReply] = {}
 
     def send_requests(self) -> list[SendMessage]:
-        """Ask all replicas; to be called again as long as too few have replied."""
+        """Send fence requests to replicas that have not replied, or resend records; call until complete."""
         if self.primary is not None:
             return self.primary.resend_unacked()
         missing = [name for name in self.log.replica_names if name not in self._fence_replies]
@@ -409,7 +414,7 @@
         return [SendMessage(name, FenceRequest(self.log, self.term)) for name in missing]
 
     def handle_reply(self, sender: str, message: Message) -> list[SendMessage]:
-        """Apply a replica's reply."""
+        """Apply a replica's reply and return the messages to send."""
         if self.is_superseded or sender not in self.log.replica_names:
             return []
         if self.primary is not None:
@@ -428,7 +433,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether a quorum has stored all that was read, in this term."""
+        """Whether a quorum has stored all records that were read, in this term."""
         return (
             self.primary is not None
             and not self.is_superseded
@@ -437,12 +442,12 @@
 
     @property
     def records(self) -> Mapping[int, bytes]:
-        """The records that were read, by index."""
+        """Records that were read, by index."""
         return self.primary.records if self.primary is not None else {}
 
     def _recover_records(self) -> list[SendMessage]:
-        # Of several writers the last one's records count, even where an earlier one's tail is longer: the
-        # last one had read all that may have been committed, and stored it on a quorum before it acted.
+        # The records of the last writer take precedence over a longer tail of an earlier one: the last
+        # writer had read all records that may be committed and stored them on a quorum before it acted.
         last_term = max(reply.last_append_term for reply in self._fence_replies.values())
         longest = max(
             (reply for reply in self._fence_replies.values() if reply.last_append_term == last_term),
--- a/honeybarrow/fleet/status.py
+++ b/honeybarrow/fleet/status.py
@@ -1,6 +1,6 @@
-"""What a fleet member reports of its fleet: tables for operators, and counts for a scrape.
+"""Status of the fleet as reported by one member: tables for operators and values for metrics.
 
-The keys of the tables are data that scripts read; they stay, whatever the fields are called here.
+The encoded keys of the tables are read by scripts and must not change with the field names.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class MemberStatusRow(msgspec.Struct, frozen=True):
-    """One member, as the reporting member knows it."""
+    """Status of one member as known to the reporting member."""
 
     name: str
     zone: str
@@ -29,7 +29,7 @@
 
 
 class ZoneStatusRow(msgspec.Struct, frozen=True):
-    """One zone for all members, or for the members of one source zone; counts are those of its verdict."""
+    """Status of a zone for all members or for those of one source zone, with the counts of its verdict."""
 
     zone: str
     source_zone: str = msgspec.field(name="members_of")
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneStatusCount:
-    """The status of one zone, as labels of a metric."""
+    """Status of one zone, as metric labels."""
 
     zone: str
     source_zone: str
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetMetrics:
-    """Counts for a scrape."""
+    """Values for a metrics scrape."""
 
     members_by_state: Mapping[str, int]
     zone_statuses: tuple[ZoneStatusCount, ...]
@@ -70,9 +70,9 @@
 
 
 def list_member_status(now_us: int, started_us: int, membership: Membership) -> list[MemberStatusRow]:
-    """Rows of all members by name; ``started_us``: since when the reporting member is as it is."""
+    """Return one row per member, sorted by name; ``started_us`` is the start time of the reporting member."""
 
-    def row(update: MemberUpdate, since_us: int) -> MemberStatusRow:
+    def make_row(update: MemberUpdate, since_us: int) -> MemberStatusRow:
         return MemberStatusRow(
             name=update.name,
             zone=update.zone,
@@ -82,13 +82,13 @@
             address=update.address,
         )
 
-    rows = [row(membership.local_member, started_us)]
-    rows += [row(record.update, record.state_since_us) for record in membership.members.values()]
-    return sorted(rows, key=lambda each: each.name)
+    rows = [make_row(membership.local_member, started_us)]
+    rows += [make_row(record.update, record.state_since_us) for record in membership.members.values()]
+    return sorted(rows, key=lambda row: row.name)
 
 
 def list_zone_status(now_us: int, zones: ZoneCoordinator, membership: Membership) -> list[ZoneStatusRow]:
-    """Rows of all zones, and of the verdicts on network paths between them."""
+    """Return one row per zone, and one per network path with a verdict."""
     return [_zone_row(now_us, zones, membership, *key) for key in _zone_keys(zones)]
 
 
@@ -122,7 +122,7 @@
 
 
 def count_members_by_state(membership: Membership) -> dict[str, int]:
-    """How many members are in each state, this one included."""
+    """Return the number of members in each state, including the reporting member."""
     counts = dict.fromkeys((state.name.lower() for state in MemberState), 0)
     for update in membership.member_list():
         counts[update.state.name.lower()] += 1
@@ -130,7 +130,7 @@
 
 
 def count_zone_statuses(now_us: int, zones: ZoneCoordinator) -> tuple[ZoneStatusCount, ...]:
-    """The status of each zone, for the labels of a metric."""
+    """Return the status of each zone, as metric labels."""
     return tuple(
         ZoneStatusCount(path, source_zone, zones.get_status(now_us, path, source_zone).value)
         for path, source_zone in _zone_keys(zones)
--- a/honeybarrow/fleet/swim_config.py
+++ b/honeybarrow/fleet/swim_config.py
@@ -1,4 +1,4 @@
-"""Configuration of membership: periods, timeouts and bounds of SWIM and Lifeguard."""
+"""Configuration of SWIM and Lifeguard: periods, timeouts and limits."""
 
 from __future__ import annotations
 
@@ -11,28 +11,29 @@
 
 @dataclass(frozen=True, slots=True)
 class SwimConfig:
-    """Durations in microseconds, and bounds. The defaults suit one network and some hundreds of members.
+    """Periods and timeouts in microseconds, and limits.
 
-    Raises ``InvalidValueError`` for values that contradict each other.
+    The defaults suit a fleet of some hundred members on one network. Raises ``InvalidValueError`` for
+    inconsistent values.
     """
 
-    protocol_period_us: int = SECOND // 2  # between two probes
-    ping_timeout_us: int = 150_000  # for the answer to a direct probe
-    indirect_ping_count: int = 3  # members that are asked to probe for us
-    suspicion_multiplier: float = 4.0  # shortest suspicion in periods, times log10 of the member count
-    max_suspicion_multiplier: float = 6.0  # longest suspicion, without confirmations, over the shortest
-    retransmit_multiplier: float = 3.0  # times log2 of the member count: how often an update is sent
+    protocol_period_us: int = SECOND // 2  # time between probes
+    ping_timeout_us: int = 150_000  # timeout of a direct probe
+    indirect_ping_count: int = 3  # helpers per indirect probe
+    suspicion_multiplier: float = 4.0  # minimum suspicion timeout, in periods times log10(members)
+    max_suspicion_multiplier: float = 6.0  # maximum suspicion timeout over the minimum
+    retransmit_multiplier: float = 3.0  # transmissions per update, times log2(members)
     max_updates_per_message: int = 6
-    max_local_health: int = 8  # how much slower a member with faults of its own judges others
+    max_local_health: int = 8  # upper bound of the local health multiplier
     push_pull_interval_us: int = 20 * SECOND
-    left_retention_us: int = 60 * SECOND  # after which a member that left is forgotten
+    left_retention_us: int = 60 * SECOND  # time until a departed member is removed
     max_members: int = 1000
-    max_incarnation_bumps: int = 5  # within a minute, before another process of this name is reported
+    max_incarnation_bumps: int = 5  # per minute, before a name conflict is reported
 
     def __post_init__(self) -> None:
         if not 0 < self.ping_timeout_us * 2 < self.protocol_period_us:
             raise InvalidValueError(
-                "ping_timeout_us must be under half of protocol_period_us: indirect probes need time too"
+                "ping_timeout_us must be less than half of protocol_period_us, for indirect probes"
             )
         for name in (
             "indirect_ping_count",
--- a/honeybarrow/fleet/transport.py
+++ b/honeybarrow/fleet/transport.py
@@ -1,8 +1,8 @@
-"""Sockets of one fleet member: datagrams for what is small and may be lost, streams for whole member lists.
+"""Sockets of one fleet member: datagrams for small messages, streams for push-pull and operator requests.
 
-Decides nothing. A member is reached at its configured address, else at the one that it announces, else at
-the one from which it was heard last. What can't be decoded, comes from an earlier incarnation or exceeds a
-bound is counted by its reason and dropped.
+A member is reached at its configured address, else at its announced address, else at the address from which
+its last datagram came. Messages that can't be decoded, come from an earlier incarnation or exceed a limit are
+dropped and counted by reason.
 """
 
 from __future__ import annotations
@@ -33,17 +33,17 @@
 )
 from honeybarrow.ports import Logger, Reactor
 
-STREAM_TIMEOUT_S = 3.0  # for one request and its reply; a paused member must not hold streams open
+STREAM_TIMEOUT_S = 3.0  # for one request and its reply, so that a paused member can't hold streams open
 MAX_INBOUND_STREAMS = 32
-MAX_LEARNED_ADDRESSES = 4096  # addresses from which members were heard
-DROPS_PER_LOG_LINE = 1000  # of one reason
+MAX_LEARNED_ADDRESSES = 4096  # source addresses of received datagrams
+DROPS_PER_LOG_LINE = 1000  # per drop reason
 
 HostPort = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class TransportConfig:
-    """Where one member listens, and where its configured peers are reached."""
+    """Listen address of one member and the addresses of its configured peers."""
 
     listen_address: HostPort
     fleet_name: str
@@ -52,26 +52,26 @@
 
 
 class TransportHandler(TypingProtocol):
-    """What the transport needs of its owner (:class:`honeybarrow.fleet.agent.FleetAgent`)."""
+    """Callbacks of the transport, implemented by :class:`honeybarrow.fleet.agent.FleetAgent`."""
 
     def local_incarnation(self) -> int:
-        """Incarnation that goes out with each message."""
+        """Return the incarnation sent with each message."""
 
     def find_member(self, name: str) -> MemberUpdate | None:
-        """What is known of another member."""
+        """Return the current update of a remote member, or ``None`` if it is unknown."""
 
     def handle_message(self, sender: str, message: DatagramMessage) -> None:
-        """Handle a datagram's message."""
+        """Handle the message of a datagram."""
 
     def handle_push_pull(self, remote: PushPullState) -> PushPullState:
-        """Merge the other side of an exchange; our side, as it was before."""
+        """Merge the remote state and return the local state from before the merge."""
 
     def handle_operator_request(self, request: StatusQuery | SetOverride) -> OperatorReply:
-        """Answer an operator, who was heard on loopback."""
+        """Answer an operator request that came from a loopback address."""
 
 
 class FleetTransport(DatagramProtocol):
-    """One member's datagram and stream sockets, on one port number."""
+    """Datagram and stream sockets of one member, on the same port number."""
 
     transport: Any = None
 
@@ -87,7 +87,7 @@
         self._is_stopped = False
 
     def start(self) -> HostPort:
-        """Listen for datagrams and streams on one port. Raises ``CannotListenError``."""
+        """Listen for datagrams and streams, and return the bound address. Raises ``CannotListenError``."""
         host, port = self.config.listen_address
         stream_port = self.reactor.listenTCP(port, _ServerFactory(self), interface=host)
         self._ports.append(stream_port)
@@ -102,7 +102,7 @@
         return host, port
 
     def stop(self) -> None:
-        """Close the sockets; handle and send nothing more."""
+        """Close the sockets and ignore all further messages."""
         self._is_stopped = True
         for port in self._ports:
             port.stopListening()
@@ -110,7 +110,7 @@
     # datagrams
 
     def send(self, to: str, message: DatagramMessage) -> None:
-        """Send a message to a member; it may be lost."""
+        """Send a message to a member as a datagram, without delivery guarantee."""
         address = self.address_of(to)
         if self._is_stopped or address is None:
             self.count_drop(DropReason.NO_ADDRESS)
@@ -128,14 +128,14 @@
             self.transport.write(data, address)
         except WireError:
             self.count_drop(DropReason.TOO_LONG)
-        except OSError as error:  # such as a full buffer or a missing route: a datagram may be lost
+        except OSError as error:  # such as a full send buffer or no route to the host
             self.count_drop(f"not sent: {type(error).__name__}")
         else:
             self.datagrams_sent += 1
             self.bytes_sent += len(data)
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-        """Decode and hand on a datagram, or count why it is dropped."""
+        """Decode a datagram and pass it to the handler, or drop and count it."""
         if self._is_stopped:
             return
         try:
@@ -147,8 +147,7 @@
             return
         sender = received.sender
         if sender == self.config.member_name:
-            # Danger: another process of this name, or our own datagram sent back to us: neither is another
-            # member.
+            # Sent by another process with this name, or a reflected datagram of this process.
             self.count_drop(DropReason.OWN_NAME)
             return
         known = self.handler.find_member(sender)
@@ -161,11 +160,11 @@
         self.handler.handle_message(sender, received.message)
 
     def connectionRefused(self) -> None:
-        """Count an ICMP refusal of an earlier datagram."""
+        """Count an ICMP port-unreachable reply to an earlier datagram."""
         self.count_drop(DropReason.REFUSED)
 
     def address_of(self, name: str) -> HostPort | None:
-        """Where a member is reached."""
+        """Return the address of a member, or ``None`` if it is unknown."""
         if (configured := self.config.peer_addresses.get(name)) is not None:
             return configured
         known = self.handler.find_member(name)
@@ -175,7 +174,7 @@
     # streams
 
     def push_pull(self, to: str, local: PushPullState, merge: Callable[[PushPullState], None]) -> None:
-        """Exchange whole lists with a member; on failure ``merge`` is not called."""
+        """Exchange full state with a member; ``merge`` gets the reply and is not called on failure."""
         address = self.address_of(to)
         if self._is_stopped or address is None:
             self.count_drop(DropReason.NO_ADDRESS)
@@ -189,7 +188,7 @@
         self.reactor.connectTCP(*address, factory, timeout=STREAM_TIMEOUT_S)
 
     def encode_frame(self, body: FrameBody) -> bytes:
-        """A frame from this member. Raises :class:`WireError`."""
+        """Return an encoded frame from this member. Raises :class:`WireError` if it is too long."""
         return wire.encode(
             Frame(
                 wire.WIRE_VERSION,
@@ -201,7 +200,7 @@
         )
 
     def reply_to(self, frame: Frame, is_local: bool) -> FrameBody:
-        """The reply to a request on a stream. Raises :class:`WireError` for what is no request."""
+        """Return the reply to a request. Raises :class:`WireError` if the frame is not a valid request."""
         match frame.body:
             case PushPullState():
                 if frame.sender == self.config.member_name:
@@ -210,20 +209,20 @@
             case StatusQuery() | SetOverride() if is_local:
                 return self.handler.handle_operator_request(frame.body)
             case StatusQuery() | SetOverride():
-                # Danger: whoever reaches the port could take zones out; an operator sits on the machine.
-                return OperatorReply(error="people are heard on loopback alone")
+                # Otherwise any host that reaches the port could eject zones.
+                return OperatorReply(error="operator requests are accepted only from loopback addresses")
         raise WireError(DropReason.UNREADABLE)
 
     def count_drop(self, reason: str) -> None:
-        """Count a drop; logs the first of each reason and then one in :data:`DROPS_PER_LOG_LINE`."""
-        reason = str(reason)  # a log line shall have the text, not the enum's representation
+        """Count a drop, and log the first of every :data:`DROPS_PER_LOG_LINE` per reason."""
+        reason = str(reason)  # log the text instead of the enum's repr
         self.dropped[reason] += 1
         if self.dropped[reason] % DROPS_PER_LOG_LINE == 1:
             self.log.warning("fleet_message_dropped", reason=reason, count=self.dropped[reason])
 
 
 class _StreamProtocol(Protocol):
-    """Either end of a stream: reads one frame within the timeout."""
+    """Base of both ends of a stream; reads one frame within the timeout."""
 
     transport: Any = None
 
@@ -241,7 +240,7 @@
         self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:
-        """Handle the first frame; what follows it is ignored."""
+        """Handle the first frame and ignore any further data."""
         if self.is_finished:
             return
         try:
@@ -260,7 +259,7 @@
             self.timer.cancel()
 
     def on_frame(self, frame: Frame) -> None:
-        """Handle the frame. Raises :class:`WireError`."""
+        """Handle the received frame. Raises :class:`WireError`."""
         raise NotImplementedError
 
 
--- a/honeybarrow/fleet/wire.py
+++ b/honeybarrow/fleet/wire.py
@@ -1,9 +1,9 @@
-"""Wire format between members: msgpack, with a version and the fleet's name in front, all of it bounded.
+"""Wire format between fleet members: bounded msgpack messages that start with a version and the fleet name.
 
-A datagram holds one message. A frame on a stream is its length in four bytes (big endian), then its content;
-one request and one reply a connection. The structs are arrays: the order of fields and the ``tag`` numbers
-are the format, names are not. What can't be decoded raises :class:`WireError`, whose text names the reason
-and is a label of a metric.
+A datagram holds one message. A frame on a stream is a four-byte big-endian length followed by the content; a
+connection carries one request and one reply. The structs are encoded as arrays: field order and ``tag``
+numbers are the format, field names are not. Data that can't be decoded raises :class:`WireError`; its text is
+the drop reason, which is also a metric label.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from honeybarrow.fleet.zone_messages import EvidenceReport, EvidenceRequest, StateDigest, VerdictSync
 
 WIRE_VERSION = 1
-MAX_DATAGRAM_BYTES = 4096  # some 100 is the usual size
+MAX_DATAGRAM_BYTES = 4096
 MAX_FRAME_BYTES = 1 << 20
-FRAME_HEADER_BYTES = 4  # the length of the content
+FRAME_HEADER_BYTES = 4  # big-endian content length
 MAX_MEMBER_UPDATES = 4096
 
 
 class DropReason(enum.StrEnum):
-    """Why a message was dropped. The values are labels of a metric; they stay."""
+    """Reason for dropping a message. The values are metric labels and must not change."""
 
     UNREADABLE = "unreadable"
     OTHER_VERSION = "other version"
@@ -50,20 +50,20 @@
 
 
 class PushPullState(msgspec.Struct, frozen=True, array_like=True, tag=21):
-    """All that a member knows: one side of a push-pull exchange."""
+    """Full state of a member: one side of a push-pull exchange."""
 
     updates: Annotated[tuple[MemberUpdate, ...], Meta(max_length=MAX_MEMBER_UPDATES)]
     verdicts: VerdictSync
 
 
 class StatusQuery(msgspec.Struct, frozen=True, array_like=True, tag=22):
-    """An operator asks for the status of members or zones."""
+    """Operator request for the status of members or zones."""
 
     topic: Literal["members", "zones"]
 
 
 class SetOverride(msgspec.Struct, frozen=True, array_like=True, tag=23):
-    """An operator's override of a zone; ``out`` is ``None`` to withdraw one."""
+    """Operator request to override a zone; ``out`` is ``None`` to withdraw an override."""
 
     path: ZonePath
     out: bool | None
@@ -71,7 +71,7 @@
 
 
 class OperatorReply(msgspec.Struct, frozen=True, array_like=True, tag=24):
-    """Reply to an operator: JSON, or why the request was rejected."""
+    """Reply to an operator: JSON in ``text``, or the reason for rejection in ``error``."""
 
     text: str = ""
     error: str = ""
@@ -91,7 +91,7 @@
 
 
 class Datagram(msgspec.Struct, frozen=True, array_like=True):
-    """One message. ``incarnation``: the sender's."""
+    """One message; ``incarnation`` is the sender's."""
 
     version: int
     fleet_name: MemberName
@@ -101,7 +101,7 @@
 
 
 class Frame(msgspec.Struct, frozen=True, array_like=True):
-    """One request or reply on a stream. An operator has an empty name and incarnation 0."""
+    """One request or reply on a stream. Operators send an empty ``sender`` and incarnation 0."""
 
     version: int
     fleet_name: MemberName
@@ -111,7 +111,7 @@
 
 
 class _EnvelopeHeader(msgspec.Struct, frozen=True, array_like=True):
-    """The fields with which any version begins."""
+    """The leading fields, common to all versions."""
 
     version: int
     fleet_name: str
@@ -122,7 +122,7 @@
 
 
 def encode(envelope: Datagram | Frame) -> bytes:
-    """The bytes to send. Raises :class:`WireError` for what is too long."""
+    """Return the bytes to send. Raises :class:`WireError` if they exceed the size limit."""
     data = _encoder.encode(envelope)
     if len(data) > (MAX_DATAGRAM_BYTES if isinstance(envelope, Datagram) else MAX_FRAME_BYTES):
         raise WireError(DropReason.TOO_LONG)
@@ -130,7 +130,7 @@
 
 
 def decode(data: bytes, envelope_type: type[Envelope], fleet_name: str) -> Envelope:
-    """The datagram or frame in these bytes. Raises :class:`WireError`."""
+    """Return the decoded datagram or frame. Raises :class:`WireError` with the drop reason."""
     try:
         header = msgspec.msgpack.decode(data, type=_EnvelopeHeader)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -146,13 +146,13 @@
 
 
 class FrameReader:
-    """Cuts a stream of bytes into frames."""
+    """Incremental parser that splits a byte stream into frames."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The frames that are complete now. Raises :class:`WireError` for one that is too long."""
+        """Add data and return the completed frames. Raises :class:`WireError` for a frame over the limit."""
         self._buffer += data
         frames = []
         while len(self._buffer) >= FRAME_HEADER_BYTES:
--- a/honeybarrow/register/__init__.py
+++ b/honeybarrow/register/__init__.py
@@ -1,4 +1,4 @@
-"""The register of partners: its wire, the list held, and the client that keeps it up to date."""
+"""Register of partners: its wire format, the current list, and the client that keeps the list up to date."""
 
 from honeybarrow.register.client import RegisterClient
 from honeybarrow.register.directory import ListError, PartnerDirectory
--- a/honeybarrow/register/client.py
+++ b/honeybarrow/register/client.py
@@ -1,4 +1,4 @@
-"""The client of the register: requests the list and applies the changes that are pushed."""
+"""Register client: requests the endpoint list and applies the changes pushed by the register."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
         self.send_request()
 
     def send_request(self) -> None:
-        """Request what has changed since the version that is held."""
-        ask = ListRequest(since=self.client.directory.version, forwarder=self.client.name)
-        self.transport.write(msgspec.json.encode(ask) + b"\n")
+        """Request the changes since the current version."""
+        request = ListRequest(since=self.client.directory.version, forwarder=self.client.name)
+        self.transport.write(msgspec.json.encode(request) + b"\n")
 
     def lineReceived(self, line: bytes) -> None:
         self.client.handle_line(self, line)
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        self.client.handle_failure(self, "the list is too long")
+        self.client.handle_failure(self, "the list exceeds the maximum line length")
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.client.handle_failure(self, "the register closed the connection")
@@ -58,10 +58,10 @@
 
 
 class RegisterClient:
-    """One subscription at a time; the decision module says when to request again.
+    """Client with at most one subscription; the delivery policy decides when to request again.
 
-    ``on_update`` gets each membership update, also that a request failed. ``save_list`` gets the encoded list
-    after each update that was applied.
+    ``on_update`` receives each membership update, including the one for a failed request. ``save_list``
+    receives the encoded list after each applied update.
     """
 
     def __init__(
@@ -86,9 +86,9 @@
         self._stopped = False
 
     def subscribe(self) -> None:
-        """Request what has changed, and the changes from then on."""
+        """Request the changes since the current version, and subscribe to later ones."""
         if self._stopped or self._answer_timer is not None:
-            return  # an answer or its timeout is due
+            return  # a request is pending
         self._answer_timer = self.clock.callLater(self.answer_timeout_s, self._on_answer_timeout)
         if self.protocol is not None and self.protocol.transport is not None:
             self.protocol.send_request()
@@ -97,12 +97,12 @@
         self._connector = self.reactor.connectTCP(host, port, _Factory(self), timeout=self.answer_timeout_s)
 
     def stop(self) -> None:
-        """Disconnect, and give no further updates."""
+        """Disconnect and stop reporting updates."""
         self._stopped = True
         self._disconnect()
 
     def handle_line(self, source: _RegisterProtocol, line: bytes) -> None:
-        """Apply a line of the register; a malformed one is refused whole and the last list kept."""
+        """Apply a line of the register; an invalid line is a failure and leaves the list unchanged."""
         if source is not self.protocol or self._stopped:
             return
         try:
@@ -120,17 +120,17 @@
         self.on_update(update)
         self.save_list(self.directory.encode())
 
-    def handle_failure(self, source: _RegisterProtocol | None, why: str) -> None:
-        """A request failed or the subscription broke: disconnect, and report it to ``on_update``."""
+    def handle_failure(self, source: _RegisterProtocol | None, reason: str) -> None:
+        """Disconnect after a failed request or lost subscription, and report it to ``on_update``."""
         if self._stopped or (source is not None and source is not self.protocol):
             return
         self._disconnect()
-        self.log.warning("register_failed", reason=why)
+        self.log.warning("register_failed", reason=reason)
         self.on_update(MembershipUpdate(UpdateKind.FAILED, self.directory.version))
 
     def _on_answer_timeout(self) -> None:
         self._answer_timer = None
-        self.handle_failure(self.protocol, "no answer from the register in time")
+        self.handle_failure(self.protocol, "the register did not answer within the timeout")
 
     def _cancel_answer_timer(self) -> None:
         if self._answer_timer is not None:
@@ -139,9 +139,9 @@
 
     def _disconnect(self) -> None:
         self._cancel_answer_timer()
-        current, self.protocol = self.protocol, None
+        protocol, self.protocol = self.protocol, None
         connector, self._connector = self._connector, None
-        if current is not None and current.transport is not None:
-            current.transport.abortConnection()
+        if protocol is not None and protocol.transport is not None:
+            protocol.transport.abortConnection()
         elif connector is not None and connector.state == "connecting":
             connector.stopConnecting()
--- a/honeybarrow/register/directory.py
+++ b/honeybarrow/register/directory.py
@@ -1,4 +1,4 @@
-"""The list of partners and endpoints as a forwarder holds it: updates in, membership events out. No I/O."""
+"""The partners and endpoints known to a forwarder; turns list updates into membership updates. No I/O."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class PartnerDirectory:
-    """Partners by name and number, endpoints by target, and the version of the list."""
+    """Partners by number and name, endpoints by target, and the version of the list."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -29,18 +29,18 @@
         self._numbers_by_name: dict[str, int] = {}
 
     def find_partner(self, name: str) -> int | None:
-        """The number of the partner that recipients name so, or ``None``."""
+        """Return the number of the partner with this domain name, or ``None``."""
         return self._numbers_by_name.get(name)
 
     def addresses(self, target: str) -> tuple[EndpointAddress, ...]:
-        """Where an endpoint listens; empty if it is not listed."""
-        row = self.endpoints.get(target)
-        return row.addresses if row else ()
+        """Return the addresses of an endpoint, empty if it is not listed."""
+        entry = self.endpoints.get(target)
+        return entry.addresses if entry else ()
 
     def apply_line(self, line: bytes, is_saved: bool = False) -> MembershipUpdate:
-        """Apply a line of the register. Raises :class:`ListError`, and then nothing has changed."""
+        """Apply a line of the register. Raises :class:`ListError` for an invalid one, without any change."""
         if len(line) > MAX_LINE_BYTES:
-            raise ListError("the list is too long")
+            raise ListError(f"the list has {len(line)} bytes, the maximum is {MAX_LINE_BYTES}")
         try:
             update = msgspec.json.decode(line, type=ListUpdate)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -48,11 +48,11 @@
         return self.apply(update, is_saved)
 
     def apply(self, update: ListUpdate, is_saved: bool = False) -> MembershipUpdate:
-        """As :meth:`apply_line`, for an update already decoded."""
+        """Apply a decoded update, as :meth:`apply_line` does."""
         is_full = update.kind == "full"
-        # Danger: a register restored from an old copy would bring drained endpoints back.
+        # A register restored from an old backup would bring drained endpoints back.
         if update.version < self.version:
-            raise ListError(f"version {update.version} is older than {self.version}")
+            raise ListError(f"version {update.version} is older than the current version {self.version}")
         partners = {} if is_full else dict(self.partners)
         for partner in update.partners:
             partners[partner.number] = partner
@@ -62,7 +62,7 @@
             raise ListError(str(error)) from None
         names = {partner.name: number for number, partner in partners.items()}
         if len(names) < len(partners):
-            raise ListError("two partners have one name")
+            raise ListError("two partners have the same name")
         endpoints = {} if is_full else dict(self.endpoints)
         seen: set[str] = set()
         for entry in update.endpoints:
@@ -83,16 +83,16 @@
         self.owned_networks = owned
         kind = UpdateKind.SAVED if is_saved else UpdateKind.FULL if is_full else UpdateKind.CHANGES
         return MembershipUpdate(
-            kind, update.version, tuple(self._to_endpoint(row) for row in update.endpoints)
+            kind, update.version, tuple(self._to_endpoint(entry) for entry in update.endpoints)
         )
 
     def _check_entry(self, entry: EndpointEntry, partners: dict[int, Partner]) -> None:
-        """Raises :class:`ListError` for an endpoint that can't be in the list."""
+        """Raise :class:`ListError` for an endpoint without a valid partner or address."""
         if entry.destination not in partners:
             raise ListError(f"endpoint {entry.target} belongs to the unknown partner {entry.destination}")
         known = self.endpoints.get(entry.target)
         if known and known.destination != entry.destination:
-            raise ListError(f"endpoint {entry.target} moves from one partner to another")
+            raise ListError(f"endpoint {entry.target} can't move from one partner to another")
         if entry.state != "gone" and not entry.addresses:
             raise ListError(f"endpoint {entry.target} has no address")
 
@@ -102,7 +102,7 @@
         return Endpoint(entry.target, entry.destination, state, kind, entry.zone, entry.weight)
 
     def encode(self) -> bytes:
-        """The whole list as a line of the register, to be saved for the next start."""
+        """Return the full list as a line of the register, to be saved for the next start."""
         update = ListUpdate(
             kind="full",
             version=self.version,
--- a/honeybarrow/register/schema.py
+++ b/honeybarrow/register/schema.py
@@ -1,7 +1,7 @@
-"""The register's wire: JSON Lines over TCP, checked by schema (``docs/register.md``).
+"""Wire format of the register: JSON Lines over TCP, validated against a schema (``docs/register.md``).
 
-A forwarder requests ``{"since": 41}``; the register answers with one update and goes on to push changes.
-A line that does not fit the schema is refused whole.
+A forwarder sends a request such as ``{"since": 41}``; the register answers with one update and then pushes
+changes. A line that does not match the schema is rejected as a whole.
 """
 
 from __future__ import annotations
@@ -11,21 +11,21 @@
 import msgspec
 from msgspec import Meta
 
-from honeybarrow.addressing.address import Address as Place
+from honeybarrow.addressing.address import Address
 
-MAX_LINE_BYTES = 1 << 22  # of one line: some 20,000 endpoints
+MAX_LINE_BYTES = 1 << 22  # fits a list of about 20,000 endpoints
 
 
 class StrictRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, omit_defaults=True):
-    """A record whose unknown fields are errors."""
+    """Base of records that reject unknown fields."""
 
 
 class EndpointAddress(StrictRecord, frozen=True):
-    """Where an endpoint listens: literal address and port, or the path of a Unix socket.
+    """Address of an endpoint: IP address and port, or the path of a Unix socket.
 
-    All addresses of an endpoint lead to the same partner; lower priorities are tried first, and of one
-    priority those in the forwarder's ``zone``; ``weight`` shares the attempts among the rest where weights
-    differ (RFC 2782). Addresses of one ``machine`` fail together.
+    All addresses of an endpoint lead to the same partner. Lower priorities are tried first; within a
+    priority, addresses in the forwarder's ``zone`` come first, and ``weight`` distributes the attempts over
+    the others if weights differ (RFC 2782). Addresses on the same ``machine`` fail together.
     """
 
     host: Annotated[str, Meta(max_length=255)] = ""
@@ -39,21 +39,22 @@
 
     def __post_init__(self) -> None:
         if bool(self.path) == bool(self.host) or bool(self.host) != bool(self.port):
-            raise ValueError("an address has a host and a port, or a path")
+            raise ValueError("an address must have either a host and a port, or a path")
 
 
-def to_address(entry: EndpointAddress) -> Place:
-    """An address as the delivery core takes it."""
+def to_address(entry: EndpointAddress) -> Address:
+    """Return the address in the form that the delivery core uses."""
     lmtp = entry.protocol == "lmtp"
-    return Place(
+    return Address(
         entry.host, entry.port, lmtp, entry.path, entry.priority, entry.weight, entry.zone, entry.machine
     )
 
 
 class Partner(StrictRecord, frozen=True):
-    """A destination: its number, the domain that recipients name, its kind.
+    """A destination: its number, the domain name used in recipients, and its kind.
 
-    ``networks``, if given, are its own: its endpoints lie there, and no other partner's may.
+    ``networks``, if given, are reserved for this partner: its endpoints must be inside them, and endpoints of
+    other partners must not.
     """
 
     number: Annotated[int, Meta(ge=0)]
@@ -63,7 +64,7 @@
 
 
 class EndpointEntry(StrictRecord, frozen=True):
-    """One endpoint. ``weight``: attempts a second that its partner takes from all forwarders together."""
+    """One endpoint. ``weight``: attempts per second that it accepts from all forwarders together."""
 
     target: Annotated[str, Meta(min_length=1, max_length=128, pattern=r"^[!-~]+$")]
     destination: int
@@ -74,7 +75,7 @@
 
 
 class ListUpdate(StrictRecord, frozen=True):
-    """A whole list, or what changed since the version that was requested."""
+    """A full list, or the changes since the requested version."""
 
     kind: Literal["full", "changes"]
     version: Annotated[int, Meta(ge=0)]
@@ -83,7 +84,7 @@
 
 
 class ListRequest(StrictRecord, frozen=True):
-    """The forwarder's line: the version that it holds, 0 for none, and its own name."""
+    """Request of a forwarder: the version that it has (0 for none) and its name."""
 
     since: Annotated[int, Meta(ge=0)]
     forwarder: str = ""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -240,7 +240,7 @@
     fleet.world.create_host("far", "10.0.0.9").connectTCP(*fleet.addresses["a"], far)
     fleet.run(0.5)
     assert len(msgspec.json.decode(body_of(near).text)) == 3
-    assert body_of(far) == OperatorReply(error="people are heard on loopback alone")
+    assert body_of(far) == OperatorReply(error="operator requests are accepted only from loopback addresses")
 
 
 def test_streams_are_bounded_in_number_and_time() -> None:
