--- a/honeybarrow/fleet/endpoint_filter.py
+++ b/honeybarrow/fleet/endpoint_filter.py
@@ -1,4 +1,4 @@
-"""Filter of the register's endpoint list that removes avoided zones before the delivery policy sees it.
+"""Filter between the register's endpoint list and the delivery policy that drains avoided zones.
 
 No I/O, no clock. An endpoint in an avoided zone is published as draining, and as ready once the zone is used
 again. Endpoints that the register drains or removes are never published as ready.
--- a/honeybarrow/fleet/failure_detector.py
+++ b/honeybarrow/fleet/failure_detector.py
@@ -27,7 +27,7 @@
 
 
 class FailureDetector:
-    """Probes members in random order and suspects those that answer neither directly nor through helpers."""
+    """Probes members in shuffled rounds; suspects those that answer neither directly nor through helpers."""
 
     def __init__(
         self,
--- a/honeybarrow/fleet/member_table.py
+++ b/honeybarrow/fleet/member_table.py
@@ -156,8 +156,8 @@
             self._add(now_us, update)
             return
         known = record.update
-        is_same = (update.incarnation, update.refutations) == (known.incarnation, known.refutations)
-        if update.state is MemberState.SUSPECT and known.state is MemberState.SUSPECT and is_same:
+        is_same_version = (update.incarnation, update.refutations) == (known.incarnation, known.refutations)
+        if update.state is MemberState.SUSPECT and known.state is MemberState.SUSPECT and is_same_version:
             self.suspect(now_us, record, update.suspected_by)
         elif update.supersedes(known):
             self._replace(now_us, record, update)
