--- a/honeybarrow/policy/admission.py
+++ b/honeybarrow/policy/admission.py
@@ -1,4 +1,8 @@
-"""Which waiting message is sent next, and where to: first goes what loses most by waiting."""
+"""Selection of the next message to send and of its endpoint.
+
+Messages are sent in descending order of pressure, the utility that a message is about to lose, divided by the
+time for which it occupies a call slot.
+"""
 
 import math
 from collections.abc import Iterable, Iterator
@@ -12,23 +16,28 @@
 from honeybarrow.sender_state import NEVER, SECOND, Call, Destination, EndpointHealth, Message, SenderState
 from honeybarrow.settings import Idempotency, UtilityDecay
 
-MAX_SLOT_MULTIPLE = 2.0  # a destination may hold this many times the free slots: one alone gets two thirds
-MIN_PRESSURE = 1e-3  # of a message that is in no hurry, or for which it is too late
-NEEDED_LATENCIES = 2.5  # time that an attempt should have before its message expires
-OBJECTIVE_HORIZON_US = 1_000_000  # how near its latency objective a message becomes urgent
-DEADLINE_HORIZON_US = 2_000_000  # and how near its deadline
+MAX_SLOT_MULTIPLE = 2.0  # most calls in flight at one destination, as a multiple of the free slots
+MIN_PRESSURE = 1e-3  # pressure of a message that is not urgent, or that can no longer succeed
+NEEDED_LATENCIES = 2.5  # shortest useful time before the deadline, in latencies of the destination
+OBJECTIVE_HORIZON_US = 1_000_000  # time constant of the pressure that precedes the latency objective
+DEADLINE_HORIZON_US = 2_000_000  # time constant of the pressure that precedes the deadline
 
 
 def pressure(state: SenderState, message: Message) -> float:
-    """Return what is lost by waiting: the decay after the objective, and all that is left at the deadline."""
+    """Return the utility per second that the message loses by waiting, scaled by its weight.
+
+    The utility decays once the latency objective has passed, and the rest is lost at the deadline.
+    """
     spec, decay = message.message_class, state.settings.utility_decay
     slack_us = message.created_us + spec.latency_objective_us - state.now
     slope = (1.0 - spec.late_utility) / max(1, spec.deadline_us - spec.latency_objective_us)
     if decay is UtilityDecay.HALVING:
         slope = 0.7 * utility_at(spec, decay, state.now - message.created_us) / spec.latency_objective_us
-    # Danger: served by age alone, a backlog spends its calls on messages about to expire, and on their
-    # time-outs. The deadline counts only while an attempt can still succeed; then the message goes last.
-    spare_us = message.expires_us - state.now - health.needed_us(message.destination, NEEDED_LATENCIES)
+    # The deadline adds pressure only while an attempt can still succeed; later the message goes last.
+    # Otherwise a backlog would spend its calls on messages that are about to expire.
+    spare_us = (
+        message.expires_us - state.now - health.expected_duration_us(message.destination, NEEDED_LATENCIES)
+    )
     if spare_us < 0:
         return message.weight * MIN_PRESSURE
     loss = slope * SECOND * math.exp(-max(0, slack_us) / OBJECTIVE_HORIZON_US)
@@ -37,150 +46,179 @@
 
 
 def refresh(state: SenderState) -> None:
-    """Find which destinations may be sent to now, when the others may, and when that can change."""
-    state.touched.update((each.index, each) for each in state.checks.take_up_to(state.now))
-    while state.touched:
-        touched, state.touched = state.touched, {}
+    """Recompute, for each changed destination, whether or when it may be sent to."""
+    state.changed_destinations.update(
+        (each.index, each) for each in state.scheduled_checks.take_up_to(state.now)
+    )
+    while state.changed_destinations:
+        touched, state.changed_destinations = state.changed_destinations, {}
         for _, destination in sorted(touched.items(), key=lambda item: item[0]):
             _refresh_destination(state, destination)
 
 
 def _refresh_destination(state: SenderState, destination: Destination) -> None:
+    """Queue a destination as ready or blocked, and schedule its next check."""
     check = wake = NEVER
     for endpoint in destination.endpoints if destination.waiting else ():
         if not endpoint.is_usable:
             continue
         late, calls = NEVER, endpoint.calls
-        if calls and endpoint.answered_us < calls[0].sent_us:
+        if calls and endpoint.answered_call_sent_us < calls[0].sent_us:
             late = calls[0].sent_us + health.response_timeout_us(endpoint)
         if endpoint.health is EndpointHealth.HEALTHY and health.health_opens_us(state, endpoint) <= state.now:
-            check = min(check, late + 1)  # it has not fallen silent yet
+            check = min(check, late + 1)  # the endpoint counts as silent from then on
         at = health.scope_opens_us(endpoint.scope)
         if endpoint.health is not EndpointHealth.HEALTHY:
             at = max(at, endpoint.next_call_us)
         if endpoint.health is EndpointHealth.EJECTED and calls:
             checks = [call.sent_us for call in calls if call.sent_us > endpoint.health_since_us]
             if checks and (lost := max(checks) + health.response_timeout_us(endpoint)) > state.now:
-                check = min(check, lost)  # a health check call is in flight
+                check = min(check, lost)  # the health check in flight times out
                 continue
         wake = min(wake, at)
         check = min(check, at) if at > state.now else check
     destination.pressure_bound = math.inf
-    state.crowded.drop(destination.index)
-    state.rank.put_if(destination.index, -math.inf, destination, wake <= state.now)
-    state.wakes.put_if(destination.index, wake, destination, state.now < wake < NEVER)
-    state.checks.put_if(destination.index, check, destination, check < NEVER)
+    state.saturated_destinations.drop(destination.index)
+    state.ready_destinations.put_if(destination.index, -math.inf, destination, wake <= state.now)
+    state.blocked_destinations.put_if(destination.index, wake, destination, state.now < wake < NEVER)
+    state.scheduled_checks.put_if(destination.index, check, destination, check < NEVER)
 
 
 def admit(state: SenderState) -> None:
-    """Give slots, rate and endpoints to the waiting messages that lose most by waiting."""
+    """Start calls for the waiting messages of highest pressure while slots, rates and endpoints allow."""
     refresh(state)
     free = state.settings.slots - state.slots_used
-    if free <= 0 or not (state.rank or state.crowded):
+    if free <= 0 or not (state.ready_destinations or state.saturated_destinations):
         return
-    for destination in state.crowded.take_up_to(math.ceil(MAX_SLOT_MULTIPLE * free) - 1):
-        state.rank.put(destination.index, -destination.pressure_bound, destination)
-    unfit: dict[int, int] = {}  # messages that fit no endpoint that is open
-    # Only destinations that may have more to lose than the best message found are weighed.
-    ready = HeaviestFirstMerge(state.rank, partial(_ready_lines, state), partial(_pressure_bound, state))
-    for message in ready:
+    for destination in state.saturated_destinations.take_up_to(math.ceil(MAX_SLOT_MULTIPLE * free) - 1):
+        state.ready_destinations.put(destination.index, -destination.pressure_bound, destination)
+    unplaced: dict[int, int] = {}  # by destination: number of messages for which no endpoint is open
+    # The merge evaluates a destination only if its bound exceeds the best message found so far.
+    candidates = HeaviestFirstMerge(
+        state.ready_destinations, partial(_eligible_runs, state), partial(_pressure_bound, state)
+    )
+    for message in candidates:
         destination = message.destination
-        # Danger: one slow or silent destination takes all slots. It is left a part of the free ones.
+        # The cap on calls in flight keeps a slow or silent destination from taking all slots.
         calls = sum(len(e.calls) for e in destination.endpoints)
         if (free := state.settings.slots - state.slots_used) <= 0:
             break
         if calls >= MAX_SLOT_MULTIPLE * free:
-            state.crowded.put(destination.index, calls, destination)
+            state.saturated_destinations.put(destination.index, calls, destination)
         elif message.in_flight == 0 and (endpoint := choose_endpoint(state, message)) is not None:
             _start_call(state, message, endpoint)
         elif message.in_flight == 0:
-            unfit[destination.index] = unfit.get(destination.index, 0) + 1
-    for index, (destination, most) in ready.weighed.items():
+            unplaced[destination.index] = unplaced.get(destination.index, 0) + 1
+    for index, (destination, most) in candidates.weighed.items():
         destination.pressure_bound = _pressure_bound(state, most)
-        if index not in state.touched and index not in state.crowded:
-            _rank_again(state, destination, most, unfit.get(index, 0))
+        if index not in state.changed_destinations and index not in state.saturated_destinations:
+            _reschedule(state, destination, most, unplaced.get(index, 0))
+
 
+def _reschedule(state: SenderState, destination: Destination, most: float, unplaced: int) -> None:
+    """Keep an evaluated destination ready, or schedule a check if none of its messages can be sent now.
 
-def _rank_again(state: SenderState, destination: Destination, most: float, unfit: int) -> None:
-    """Keep a destination that was weighed in the rank, or look again later if nothing fits there now."""
-    # Either all that is due does not fit, or nothing is due.
-    if (unfit or most <= 0.0) and unfit == sum(_is_in_turn(state, each) for each in destination.waiting):
-        # What does not fit now fits later only where it is non-idempotent and half of its time is over.
+    ``most`` is the highest weight of its messages, ``unplaced`` the number of them without an open endpoint.
+    """
+    if (unplaced or most <= 0.0) and unplaced == sum(
+        _is_eligible(state, each) for each in destination.waiting
+    ):
+        # A message without an open endpoint gets one later if it is non-idempotent and half of its time has
+        # passed; see choose_endpoint.
         waiting = list(destination.waiting)
         unsafe = [each for each in waiting if each.message_class.idempotency is Idempotency.NON_IDEMPOTENT]
-        later: list[float] = [each.expires_us - each.message_class.deadline_us // 2 for each in unsafe]
-        later += [each.retry_at_us for each in waiting]
-        later.append(state.checks.key(destination.index, NEVER))
-        state.checks.put(destination.index, min(at for at in later if at > state.now), destination)
+        times: list[float] = [each.expires_us - each.message_class.deadline_us // 2 for each in unsafe]
+        times += [each.retry_at_us for each in waiting]
+        times.append(state.scheduled_checks.key(destination.index, NEVER))
+        state.scheduled_checks.put(destination.index, min(at for at in times if at > state.now), destination)
     else:
-        state.rank.put(destination.index, -destination.pressure_bound, destination)
+        state.ready_destinations.put(destination.index, -destination.pressure_bound, destination)
 
 
 def _pressure_bound(state: SenderState, most: float) -> float:
-    """Return a figure that a pressure now at most so stays under, growing as fast as one can."""
+    """Return a bound on the logarithm of a pressure that is now at most ``most``, comparable across times.
+
+    Pressures grow at most exponentially with the shorter horizon, so the bound holds at any later time.
+    """
     return math.log(max(most, 1e-300)) - state.now / min(OBJECTIVE_HORIZON_US, DEADLINE_HORIZON_US)
 
 
-def _ready_lines(state: SenderState, destination: Destination) -> Iterator[Iterator[tuple[float, Message]]]:
-    """Yield its messages that are due, in lines in which each loses no more than the one before it."""
-    # Danger: slow destinations keep few slots busy while quick ones wait; so loss counts by slot time.
+def _eligible_runs(state: SenderState, destination: Destination) -> Iterator[Iterator[tuple[float, Message]]]:
+    """Yield the eligible messages as runs of (weight, message) pairs in descending order of weight."""
+    # Pressure is divided by slot time, so that slow destinations do not hold slots that quick ones need.
     slot_us = health.useful_us(destination)
     if not state.is_deadline_ordered:
-        due = [each for each in destination.waiting if _is_in_turn(state, each)]
-        yield _weigh(state, slot_us, sorted(due, key=partial(pressure, state), reverse=True))
+        due = [each for each in destination.waiting if _is_eligible(state, each)]
+        yield _with_weights(state, slot_us, sorted(due, key=partial(pressure, state), reverse=True))
         return
-    # Here a message loses the more the nearer its deadline is, until it is too late and all lose alike.
+    # Within a group the pressure grows towards the deadline. Messages that can no longer succeed all have the
+    # same minimum pressure, so they form runs by weight.
     too_late: dict[float, list[tuple[int, Message]]] = {}
-    needed = state.now + health.needed_us(destination, NEEDED_LATENCIES)
-    for late, line in destination.waiting.split(needed):
+    needed = state.now + health.expected_duration_us(destination, NEEDED_LATENCIES)
+    for late, run in destination.waiting.split(needed):
         for _, place, message in late:
             too_late.setdefault(message.weight, []).append((place, message))
-        yield _weigh(state, slot_us, (message for _, _, message in line))
-    for alike in too_late.values():
-        yield _weigh(state, slot_us, (message for _, message in sorted(alike)))
+        yield _with_weights(state, slot_us, (message for _, _, message in run))
+    for expired in too_late.values():
+        yield _with_weights(state, slot_us, (message for _, message in sorted(expired)))
 
 
-def _weigh(state: SenderState, slot_us: int, line: Iterable[Message]) -> Iterator[tuple[float, Message]]:
-    for message in line:
-        if message.destination.index in state.crowded:
+def _with_weights(
+    state: SenderState, slot_us: int, run: Iterable[Message]
+) -> Iterator[tuple[float, Message]]:
+    """Yield the eligible messages of a run with their pressure by slot time."""
+    for message in run:
+        if message.destination.index in state.saturated_destinations:
             return
-        if _is_in_turn(state, message):
+        if _is_eligible(state, message):
             yield pressure(state, message) / slot_us, message
 
 
-def _is_in_turn(state: SenderState, message: Message) -> bool:
-    """Return whether it is due and not behind another message of its key; batches look for themselves."""
+def _is_eligible(state: SenderState, message: Message) -> bool:
+    """Return whether the message is due, first of its order key, and may be recorded.
+
+    Where batches are allowed, the order is checked for each message of a batch by :func:`can_send`.
+    """
     key = message.order_key
     is_first = key is None or state.order_queues[key][0] is message
     is_in_order = is_first or message.destination.kind.max_batch_size > 1
-    return message.retry_at_us <= state.now and is_in_order and _can_be_recorded(state, message)
+    return message.retry_at_us <= state.now and is_in_order and _can_record_start(state, message)
+
 
+def _can_record_start(state: SenderState, message: Message) -> bool:
+    """Return whether the log permits an attempt to start.
 
-def _can_be_recorded(state: SenderState, message: Message) -> bool:
-    """Return whether an attempt may start as far as the log goes: one that is not on disk may be repeated."""
+    The start of an attempt that is not recorded could be repeated after a crash, which only idempotent
+    messages allow.
+    """
     return state.is_log_available or message.message_class.idempotency is Idempotency.IDEMPOTENT
 
 
 def choose_endpoint(state: SenderState, message: Message) -> records.EndpointRecord | None:
-    """Return the endpoint for a message: one that answers, with few calls and a warm connection."""
-    # Danger: a health check call that is lost ends a non-idempotent message, so it waits until the deadline
-    # nears, but where connects fail: it never ran then. One cut off by its message's deadline tells nothing.
-    # But where all deadlines are shorter than the time-out, none would ever go, and the endpoint would
-    # stay ejected for good: so a third of a message's time is enough for one.
+    """Return the open endpoint with the fewest calls, most recently used first, ejected ones last.
+
+    Returns ``None`` if no endpoint is open to the message. Calls to ejected endpoints are health checks, with
+    two restrictions:
+
+    * A lost health check ends a non-idempotent message, so such a message is used only in the second half of
+      its time, or if connects fail, in which case it does not run.
+    * A health check cut short by its message's deadline tells nothing, so the message needs the response
+      timeout, or a third of its deadline where all deadlines are shorter than the timeout.
+    """
     left, spec = message.expires_us - state.now, message.message_class
     is_unsafe = spec.idempotency is Idempotency.NON_IDEMPOTENT and left > spec.deadline_us // 2
     endpoints = message.destination.endpoints
     open_now = [e for e in endpoints if e.is_usable and health.opens_us(state, e) <= state.now]
     for endpoint in [e for e in open_now if e.health is EndpointHealth.EJECTED]:
         is_short = left < min(health.response_timeout_us(endpoint), spec.deadline_us // 3)
-        if is_short or (is_unsafe and endpoint.connect_failed_us < endpoint.health_since_us):
+        if is_short or (is_unsafe and endpoint.last_connect_failure_us < endpoint.health_since_us):
             open_now.remove(endpoint)
     ejected = EndpointHealth.EJECTED
     return min(open_now, key=lambda e: (e.health is ejected, len(e.calls), -e.last_sent_us), default=None)
 
 
 def _start_call(state: SenderState, message: Message, endpoint: records.EndpointRecord) -> None:
-    """Send a message, and with it those that its batch has room for."""
+    """Send a message in a new call, with further messages up to the batch size."""
     kind, others = message.destination.kind, list[Message]()
     if kind.max_batch_size > 1 and endpoint.health is not EndpointHealth.EJECTED:
         due = [m for m in message.destination.waiting if m.retry_at_us <= state.now and m is not message]
@@ -192,28 +230,34 @@
 
 
 def can_send(state: SenderState, message: Message, call: Call) -> bool:
-    """Return whether an attempt may go with this call. Every guard for the rules stands here."""
+    """Return whether every delivery rule permits sending the message with this call."""
     endpoint, spec, key, now = call.endpoint, message.message_class, message.order_key, state.now
     is_keyed = is_ambiguous(message) and spec.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
     is_bound = is_keyed and spec.key_scope != "all"
-    is_resting = not message.attempts and state.key_rests.get(-1 if key is None else key, 0) > now
+    is_cooling_down = not message.attempts and state.key_cooldowns.get(-1 if key is None else key, 0) > now
     return not (
-        (message.is_completed or message.in_flight > 0)  # completed, or in flight already: no hedging
+        (message.is_completed or message.in_flight > 0)  # no hedging
         or len(message.attempts) >= state.settings.max_attempts
-        or message.destination is not endpoint.destination  # another destination's endpoint
-        or not _can_be_recorded(state, message)  # its start would not outlive the process
-        or not endpoint.is_usable  # it drains or is gone
+        or message.destination is not endpoint.destination  # wrong destination
+        or not _can_record_start(state, message)  # no durable record of the start
+        or not endpoint.is_usable  # draining or removed
         or endpoint.scope.backoff_until_us > now  # Retry-After
-        or now > latest_start_us(message, DEADLINE_MARGIN_US)  # hard cap, key window, or a second effect
-        or (is_bound and endpoint.zone != message.ambiguous_zone)  # another zone does not know the key
-        or (key is not None and (is_resting or state.order_queues[key][0] is not message))  # order
+        or now
+        > latest_start_us(
+            message, DEADLINE_MARGIN_US
+        )  # past the hard cap, the key window or the only attempt
+        or (is_bound and endpoint.zone != message.ambiguous_zone)  # the key is unknown in other zones
+        or (key is not None and (is_cooling_down or state.order_queues[key][0] is not message))
         or (call.open_attempts == 0 and state.slots_used >= state.settings.slots)
         or (call.open_attempts == 0 and health.opens_us(state, endpoint) > now)
     )
 
 
 def send(state: SenderState, message: Message, call: Call) -> None:
-    """Send an attempt if it may go with this call. The only place that does."""
+    """Start an attempt with this call if :func:`can_send` permits it.
+
+    No other function starts attempts.
+    """
     if not can_send(state, message, call):
         return
     endpoint, now = call.endpoint, state.now
@@ -228,8 +272,8 @@
     message.attempts.append(call)
     message.in_flight += 1
     message.destination.waiting.drop(message.id)
-    state.touched[message.destination.index] = message.destination
-    # Danger: the call may be written later than now, past the hard cap or the key window.
+    state.changed_destinations[message.destination.index] = message.destination
+    # The bytes may be written later than now, so the action carries the limit set by hard cap and key window.
     start = latest_start_us(message, DEADLINE_MARGIN_US) - now
     timeout = health.attempt_timeout_us(state, message, call)
     state.actions.append(SendAttempt(message.id, endpoint.target, timeout, start))
--- a/honeybarrow/policy/lifecycle.py
+++ b/honeybarrow/policy/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a message: arrival, the outcome of each attempt, retries, and its one final result."""
+"""Message lifecycle: arrival, attempt outcomes, retries, load shedding and the final result."""
 
 import heapq
 import itertools
@@ -14,19 +14,22 @@
 from honeybarrow.sender_state import SECOND, Call, Message, SenderState, add_waiting, complete
 from honeybarrow.settings import Idempotency
 
-MAX_OPEN_SHARE = 0.95  # part of the capacity at which the messages of least utility are returned
-QUOTA_BURST_S = 3.0  # unused quota that a tenant may save up
+MAX_OPEN_SHARE = 0.95  # share of max_open above which load is shed
+QUOTA_BURST_S = 3.0  # burst size of a tenant quota, in seconds of its rate
 AMBIGUOUS = (AttemptStatus.ERROR, AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED)
 
 
 def on_message_arrived(state: SenderState, event: MessageArrived) -> None:
-    """Accept a message. Raises ``ValueError`` for an id that is open and for an unknown class."""
+    """Accept a message and queue it for sending.
+
+    :raises ValueError: if a message of this id is open, or if the message class is unknown.
+    """
     if event.message in state.messages:
         raise ValueError(f"message {event.message!r} is given twice")
     spec = state.classes.get(event.class_name)
     if spec is None:
         raise ValueError(f"message {event.message!r} has the unknown class {event.class_name!r}")
-    destination = sender_state.find_destination(state, event.destination, "", new_scope)
+    destination = sender_state.get_or_create_destination(state, event.destination, "", new_scope)
     measure_demand(destination, state.now)
     expires_us = state.now + event.time_left_us
     weight = _quota_weight(state, event.tenant) * spec.priority_weight
@@ -43,28 +46,31 @@
     if spec.is_ordered and event.order_key is not None:
         message.order_key = event.order_key
         state.order_queues.setdefault(event.order_key, deque()).append(message)
-    _watch_deadline(state, message)
+    _schedule_deadline_check(state, message)
 
 
 def _quota_weight(state: SenderState, tenant: str) -> float:
-    """Return what a message of this tenant counts just now: beyond its part of the quota, little."""
+    """Take a token of the tenant's quota; return the weight factor of its next message.
+
+    The factor is 1 within the quota, else ``over_quota_weight``.
+    """
     quota = state.quotas.get(tenant)
     if quota is None:
         return 1.0
     earned = quota.rate * (state.now - quota.refilled_us) / SECOND
     tokens = min(QUOTA_BURST_S * quota.rate + 1.0, quota.tokens + earned)
-    is_inside = tokens >= 1.0
-    quota.tokens, quota.refilled_us = tokens - is_inside, state.now
-    return 1.0 if is_inside else state.settings.over_quota_weight
+    is_within_quota = tokens >= 1.0
+    quota.tokens, quota.refilled_us = tokens - is_within_quota, state.now
+    return 1.0 if is_within_quota else state.settings.over_quota_weight
 
 
 def on_attempt_finished(state: SenderState, event: AttemptFinished) -> None:
-    """Record the outcome of an attempt; then complete its message or try again."""
+    """Record the outcome of an attempt, then complete its message or schedule a retry."""
     message = state.messages.get(event.message)
     call = (message.attempts[event.attempt : event.attempt + 1] or [None])[0] if message else None
     if message is None or call is None:
         return
-    state.touched[message.destination.index] = message.destination
+    state.changed_destinations[message.destination.index] = message.destination
     message.attempts[event.attempt] = None
     message.in_flight -= 1
     call.open_attempts -= 1
@@ -76,8 +82,8 @@
         _record_ambiguous(state, message, call, event.status)
     scope = call.endpoint.scope
     scope.backoff_until_us = max(scope.backoff_until_us, state.now + event.retry_after_us)
-    if not call.is_learned and event.status not in (AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT):
-        call.is_learned = True
+    if not call.is_outcome_recorded and event.status not in (AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT):
+        call.is_outcome_recorded = True
         endpoint_health.learn(state, call, event)
     endpoint_health.close_idle_connections(state, call.endpoint)
     message.is_rejected |= event.status is AttemptStatus.REJECTED
@@ -90,16 +96,20 @@
 
 
 def _record_ambiguous(state: SenderState, message: Message, call: Call, status: AttemptStatus) -> None:
+    """Record that an attempt may have run; a lost one also starts the cooldown of its order key."""
     if call.sent_us < message.ambiguous_since_us:
         message.ambiguous_since_us, message.ambiguous_zone = call.sent_us, call.endpoint.zone
     if message.order_key is not None and status is not AttemptStatus.ERROR:
-        state.key_rests = {key: at for key, at in state.key_rests.items() if at > state.now}
-        state.key_rests[message.order_key] = state.now + state.settings.ambiguous_key_rest_us
-        heapq.heappush(state.due, (state.key_rests[message.order_key], message.id))
+        state.key_cooldowns = {key: at for key, at in state.key_cooldowns.items() if at > state.now}
+        state.key_cooldowns[message.order_key] = state.now + state.settings.ambiguous_key_rest_us
+        heapq.heappush(state.message_timers, (state.key_cooldowns[message.order_key], message.id))
 
 
 def _retry(state: SenderState, message: Message) -> None:
-    """After a failure: wait and try again, or stop: floor, then soft cap; the hard cap always."""
+    """Schedule a retry after a failed attempt, or give the final result if a cap is reached.
+
+    The soft cap applies only after the minimum number of retries; the hard cap and ``max_attempts`` always.
+    """
     retries, spec = len(message.attempts), message.message_class
     at = state.now + backoff.backoff_us(retries, state.rng)
     is_past_objective = at > message.created_us + spec.latency_objective_us
@@ -110,19 +120,22 @@
         return
     message.retry_at_us = at
     add_waiting(state, message)
-    heapq.heappush(state.due, (message.retry_at_us, message.id))
-    _watch_deadline(state, message)
+    heapq.heappush(state.message_timers, (message.retry_at_us, message.id))
+    _schedule_deadline_check(state, message)
 
 
 def give_final_result(state: SenderState, message: Message) -> None:
-    """Return or fail a message, at once when it is given up. The only place that does."""
+    """Complete a message without delivery: return it to its client if that is harmless, else fail it.
+
+    No other function gives such a result.
+    """
     if message.in_flight == 0 and can_return(message):
         destination, spec = message.destination, message.message_class
-        longest_us = state.settings.max_retry_after_us * state.settings.allows_retry_after
+        max_pause_us = state.settings.max_retry_after_us * state.settings.allows_retry_after
         rate = max((each.scope.limiter.rate or 0.0 for each in destination.endpoints), default=0.0)
         queue_us = int(len(destination.waiting) / rate * SECOND) if rate else 0
         opens_us = endpoint_health.destination_opens_us(state, destination) - state.now
-        pause_us = min(max(opens_us, queue_us, backoff.INITIAL_BACKOFF_US), longest_us)
+        pause_us = min(max(opens_us, queue_us, backoff.INITIAL_BACKOFF_US), max_pause_us)
         is_keyed = backoff.is_ambiguous(message) and spec.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
         left_us = message.ambiguous_since_us + spec.key_window_us - DEADLINE_MARGIN_US - state.now
         within_us = max(0, left_us) if is_keyed else None
@@ -133,16 +146,16 @@
 
 
 def shed_load(state: SenderState) -> None:
-    """Return the messages of least utility before arrivals are rejected unseen."""
+    """Return the messages of least utility to their clients while too many are open."""
     for _ in range(state.open_messages - int(state.settings.max_open * MAX_OPEN_SHARE)):
-        # Of messages alike but for age the oldest has least utility, and of equals the first to come goes.
+        # Within a group only the oldest message has to be compared; ties go to the first arrival.
         queues = itertools.chain(*state.return_queues.values())
-        oldest = [found for queue in queues if (found := queue.first_matching(_can_shed))]
+        oldest = [found for queue in queues if (found := queue.first_matching(_is_sheddable))]
         if oldest:
             give_final_result(state, min(oldest, key=lambda each: _remaining_utility(state, each)))
 
 
-def _can_shed(message: Message) -> bool:
+def _is_sheddable(message: Message) -> bool:
     return not message.is_completed and message.in_flight == 0 and can_return(message)
 
 
@@ -151,18 +164,21 @@
     return message.weight * backoff.utility_at(message.message_class, decay, age_us), message.sequence
 
 
-def _watch_deadline(state: SenderState, message: Message) -> None:
+def _schedule_deadline_check(state: SenderState, message: Message) -> None:
+    """Schedule a check of the message right after the latest useful start of an attempt."""
     latest = latest_start_us(message, useful_us(message.destination))
-    heapq.heappush(state.due, (max(state.now, latest) + 1, message.id))
+    heapq.heappush(state.message_timers, (max(state.now, latest) + 1, message.id))
 
 
 def check_due(state: SenderState) -> None:
-    """Give the final result of messages that can't be started in time any more; look at the others again."""
-    while state.due and state.due[0][0] <= state.now:
-        message = state.messages.get(heapq.heappop(state.due)[1])
+    """Process due message timers: give the final result of messages past the hard cap, recheck the others."""
+    while state.message_timers and state.message_timers[0][0] <= state.now:
+        message = state.messages.get(heapq.heappop(state.message_timers)[1])
         if message and not message.is_completed and message.in_flight == 0:
             if state.now > latest_start_us(message, useful_us(message.destination)):
                 give_final_result(state, message)
             else:
-                _watch_deadline(state, message)
-            state.touched[message.destination.index] = message.destination  # its backoff may have ended
+                _schedule_deadline_check(state, message)
+            state.changed_destinations[message.destination.index] = (
+                message.destination
+            )  # the backoff may have ended
--- a/honeybarrow/policy/membership.py
+++ b/honeybarrow/policy/membership.py
@@ -1,4 +1,4 @@
-"""What the sender makes of the endpoint list: which endpoints there are, which drain, which are gone."""
+"""Application of endpoint list updates: endpoints that are added, draining or removed."""
 
 from honeybarrow import sender_state
 from honeybarrow.actions import LogEvent, SetTimer, Subscribe
@@ -8,14 +8,14 @@
 from honeybarrow.sender_state import EndpointHealth, EndpointRecord, SenderState
 from honeybarrow.settings import WeightSource
 
-POLL_BACKOFF_US = (500_000, 1_200_000)  # first wait before asking again, doubled up to the second
-POLL_TIMER = "ask"
+POLL_BACKOFF_US = (500_000, 1_200_000)  # base and maximum delay of polls after a failure
+POLL_TIMER = "ask"  # timer name on the wire
 
 
 def on_membership_update(state: SenderState, update: MembershipUpdate) -> None:
-    """Apply a list, changes to it, or the news that there is none to be had."""
+    """Apply a full list, a saved list or changes; after a failed request, schedule the next one."""
     if update.kind is UpdateKind.FAILED:
-        _poll_again(state)
+        _schedule_poll(state)
         return
     if update.kind is UpdateKind.SAVED and state.settings.polls_endpoint_list:
         state.actions.append(Subscribe())
@@ -30,16 +30,19 @@
             if known:
                 sender_state.remove_endpoint(state, known)
             continue
-        endpoint = known or _add(state, entry)
+        endpoint = known or _add_endpoint(state, entry)
         endpoint.is_usable = entry.state is EndpointState.READY
-        state.touched[endpoint.destination.index] = endpoint.destination
+        state.changed_destinations[endpoint.destination.index] = endpoint.destination
         if state.settings.weight_source is not WeightSource.NONE:
             endpoint.scope.listed_limit = entry.weight
     state.destinations = {n: each for n, each in state.destinations.items() if each.endpoints or each.waiting}
 
 
-def _poll_again(state: SenderState) -> None:
-    # Danger: a sender that is not notified of drains breaks the rule on them; so it polls on.
+def _schedule_poll(state: SenderState) -> None:
+    """Schedule the next request for the endpoint list with jittered backoff.
+
+    Polling never stops: without the list the sender would keep sending to endpoints that drain.
+    """
     state.failed_polls += 1
     wait = min(POLL_BACKOFF_US[1], POLL_BACKOFF_US[0] << min(state.failed_polls, 8))
     if state.settings.poll_interval_us:
@@ -49,14 +52,16 @@
     state.actions.append(SetTimer(POLL_TIMER, int(wait * state.rng.uniform(0.7, 1.0))))
 
 
-def _add(state: SenderState, entry: Endpoint) -> EndpointRecord:
-    destination = sender_state.find_destination(state, entry.destination, entry.kind, new_scope)
-    # The one place that scopes rate, Retry-After and recovery budget: by destination or by route.
+def _add_endpoint(state: SenderState, entry: Endpoint) -> EndpointRecord:
+    """Create the record of a newly listed endpoint and attach it to its destination and scope."""
+    destination = sender_state.get_or_create_destination(state, entry.destination, entry.kind, new_scope)
+    # Rate limit, Retry-After and recovery budget are shared by the destination, or kept by route.
     scope = new_scope() if destination.kind.has_separate_routes else destination.shared_scope
     added = EndpointRecord(entry.target, entry.zone, destination, scope, state.now, INITIAL_LATENCY_US)
-    # Danger: all that waits for a destination that is ejected rushes to an endpoint put in its place.
-    if sick := [each for each in scope.endpoints if each.health is not EndpointHealth.HEALTHY]:
-        added.outage_since_us = sick[0].outage_since_us
+    # A new endpoint of a failing scope starts as ejected. Otherwise the whole backlog of the destination
+    # would be sent to it at once.
+    if failing := [each for each in scope.endpoints if each.health is not EndpointHealth.HEALTHY]:
+        added.outage_since_us = failing[0].outage_since_us
         eject(state, added, "like_its_siblings")
     scope.endpoints.append(added)
     destination.endpoints.append(added)
--- a/honeybarrow/sender_state.py
+++ b/honeybarrow/sender_state.py
@@ -1,7 +1,7 @@
-"""The records that the decision modules in :mod:`honeybarrow.policy` share, and the upkeep of their tables.
+"""State records shared by the modules of :mod:`honeybarrow.policy`, and functions that keep them consistent.
 
-Nothing here decides, and no constant here tunes. Times are integers in microseconds on the
-caller's monotone clock and end in ``_us``.
+The decisions and their constants are in the policy modules. Times and durations are integers in microseconds
+and end in ``_us``; times are on the caller's monotonic clock.
 """
 
 from __future__ import annotations
@@ -27,169 +27,175 @@
 
 
 class EndpointHealth(enum.Enum):
-    """How an endpoint is treated."""
+    """State of an endpoint in the outage handling of the policy."""
 
     HEALTHY = "well"
-    EJECTED = "out"  # only health check calls go there
-    SLOW_START = "ramp"  # it answers again and may still be warming up
+    EJECTED = "out"  # receives health check calls only
+    SLOW_START = "ramp"  # answers again, with calls spaced while it warms up
 
 
 @dataclass(slots=True)
 class Call:
-    """One call at an endpoint, with all messages that travel in it."""
+    """A call to an endpoint, carrying one message or a batch."""
 
     endpoint: EndpointRecord
     sent_us: int
-    was_idle: bool = False  # its connection may have been idle for long
-    open_attempts: int = 0
-    is_learned: bool = False  # its outcome has been taken into account
+    is_on_idle_connection: bool = False  # the connection may have been dropped while idle
+    open_attempts: int = 0  # attempts of the call without an outcome
+    is_outcome_recorded: bool = False  # set by the first outcome of the batch
 
 
 @dataclass(slots=True)
 class Message:
-    """A message from its arrival until it is completed and no attempt of it is in flight."""
+    """A message, kept from its arrival until it is completed and has no attempt in flight."""
 
     id: str
     message_class: MessageClass
     destination: Destination
     created_us: int
     expires_us: int
-    weight: float  # priority weight, less if its tenant is beyond its quota
-    sequence: int  # in the order of arrival
-    group: tuple[str, float]  # class and weight: messages of one group differ only in age
+    weight: float  # priority weight, reduced if the tenant exceeds its quota
+    sequence: int  # arrival number
+    group: tuple[str, float]  # class name and weight
     order_key: int | None = None
-    attempts: list[Call | None] = field(default_factory=list)
-    in_flight: int = 0
-    ambiguous_since_us: int = NEVER  # when the first attempt that may have run was sent
-    ambiguous_zone: str = ""
-    retry_at_us: int = 0  # when the backoff after the last failure ends
+    attempts: list[Call | None] = field(default_factory=list)  # by attempt number; None once finished
+    in_flight: int = 0  # attempts without an outcome
+    ambiguous_since_us: int = NEVER  # send time of the first attempt that may have run
+    ambiguous_zone: str = ""  # zone of that attempt
+    retry_at_us: int = 0  # end of the backoff after the last failure
     is_completed: bool = False
-    is_rejected: bool = False  # rejected for good by its destination: no retry can succeed
+    is_rejected: bool = False  # permanently, by the destination
 
 
 @dataclass(slots=True)
 class EndpointRecord:
-    """One address of a destination, and how it fares."""
+    """An endpoint of a destination, its health and its calls in flight."""
 
     target: str
     zone: str
     destination: Destination
     scope: RateLimitScope
     health_since_us: int
-    latency_us: float  # estimate of how long a call takes
-    is_usable: bool = True
+    latency_us: float  # moving average of call durations
+    is_usable: bool = True  # listed and not draining
     health: EndpointHealth = EndpointHealth.HEALTHY
-    next_call_us: int = 0  # while ejected or in slow start: when the next call may go
-    calls: list[Call] = field(default_factory=list)
-    answered_us: int = -1  # when the newest call that was answered had been sent
+    next_call_us: int = 0  # earliest next call while ejected or in slow start
+    calls: list[Call] = field(default_factory=list)  # in flight, oldest first
+    answered_call_sent_us: int = -1  # send time of the newest answered call
     last_sent_us: int = -1
-    failure_streak: int = 0
-    outage_since_us: int = NEVER  # when the first call of an outage was sent, as far as seen here
-    error_share: float = 0.0
-    slow_losses: int = 0  # losses in a row that took longer than an answer does
-    connect_failed_us: int = 0  # last failed connect
-    idle_since_us: int = -1  # when the last call ended: its connections are idle since
-    has_lost_idle: bool = False  # a call was lost on a connection that had been idle
-    keeps_connections: bool = False  # its connections were left open after the last call
+    failure_streak: int = 0  # consecutive failures
+    outage_since_us: int = NEVER  # send time of the first failed call of an outage
+    error_share: float = 0.0  # moving average of calls answered with errors
+    slow_loss_streak: int = 0  # consecutive losses that took longer than an answer
+    last_connect_failure_us: int = 0  # time of the last failed connect
+    idle_since_us: int = -1  # end of the last call
+    has_idle_loss: bool = False  # a call on an idle connection was lost since the last answer
+    keeps_connections: bool = False  # connections are left open after calls
 
 
 @dataclass(slots=True)
 class RateLimitScope:
-    """What shares one limit: a destination, or one route of it. Rate limiter and Retry-After are its own."""
+    """The endpoints that share one rate limit and Retry-After: all of a destination, or one route of it."""
 
     limiter: RateLimiter
-    remaining_share: float  # share of the limit that is left, as reported lately
+    remaining_share: float  # moving average of the unused share of the limit, as reported
     endpoints: list[EndpointRecord] = field(default_factory=list)
-    backoff_until_us: int = 0  # end of its Retry-After
-    listed_limit: float = 0.0
-    reported_limit: float = 0.0
-    reopens_us: int = NEVER  # when it opens, where it announced that while closed
-    failing_since_us: int = NEVER  # when the first call was sent of those that failed since the last success
-    rest_until_us: int = 0  # how long this sender stays away after a failure, for others fail alike
-    rejecting_since_us: int = NEVER  # first rejection since the last success
-    rejections: int = 0  # and how many
+    backoff_until_us: int = 0  # end of the Retry-After
+    listed_limit: float = 0.0  # calls per second; 0 if unknown
+    reported_limit: float = 0.0  # calls per second; 0 if unknown
+    announced_reopen_us: int = NEVER  # end of a closure announced by Retry-After
+    failing_since_us: int = NEVER  # send time of the first failed call since the last success
+    rest_until_us: int = 0  # end of the randomized backoff after a failure
+    rejecting_since_us: int = NEVER  # time of the first rejection since the last success
+    rejection_streak: int = 0  # consecutive rejections
 
 
 @dataclass(slots=True)
 class Destination:
-    """Where messages go: its endpoints, and the messages that wait for them."""
+    """A destination: its endpoints, and the messages that wait for them."""
 
     kind: DestinationKind
-    index: int  # destinations are gone through in the order in which they were first heard of
+    index: int  # creation order; breaks ties between destinations
     shared_scope: RateLimitScope
     endpoints: list[EndpointRecord] = field(default_factory=list)
-    # By group, in the order in which they expire.
+    # Messages waiting for an endpoint, by group, sorted by expiry.
     waiting: GroupedSortedLists[Message] = field(default_factory=GroupedSortedLists)
-    demand: float = 0.0  # messages a second that this sender is given for it, lately
-    demand_at_us: int = 0
-    pressure_bound: float = math.inf  # what the pressure of each of its messages stays under
+    demand: float = 0.0  # moving average of arrivals, in messages per second
+    demand_updated_us: int = 0
+    pressure_bound: float = math.inf  # upper bound, see honeybarrow.policy.admission
 
 
 @dataclass(slots=True)
 class TenantQuota:
-    """A tenant's part of its quota at this sender, as a token bucket."""
+    """Token bucket for this sender's share of a tenant quota."""
 
-    rate: float  # messages a second
+    rate: float  # messages per second
     tokens: float = math.inf
     refilled_us: int = 0
 
 
-def _return_queues() -> defaultdict[tuple[str, float], list[IndexedPriorityQueue[Message]]]:
+def _new_return_queues() -> defaultdict[tuple[str, float], list[IndexedPriorityQueue[Message]]]:
     return defaultdict(lambda: [IndexedPriorityQueue(), IndexedPriorityQueue()])
 
 
 @dataclass(slots=True)
 class SenderState:
-    """All that one sender knows. ``now`` and ``actions`` belong to the batch of events at hand."""
+    """The complete state of one sender.
+
+    ``now`` and ``actions`` belong to the batch of events that is being processed.
+    """
 
     settings: Settings
     rng: random.Random
     classes: dict[str, MessageClass]
-    min_retries: dict[str, int]  # by class: retries that go before the soft cap
+    min_retries: dict[str, int]  # by class name: retries granted past the soft cap
     kinds: dict[str, DestinationKind]
-    remaining_field: int  # where load reports have the share that is left of a limit; -1: nowhere
-    limit_field: int  # and the limit
-    is_deadline_ordered: bool  # whether within a group the message that expires first is the most urgent
+    remaining_field_index: int  # position of the remaining share in load reports; -1 if absent
+    limit_field_index: int  # position of the limit in load reports; -1 if absent
+    is_deadline_ordered: bool  # within a group, the pressure grows towards the deadline
     quotas: dict[str, TenantQuota]
     now: int = 0
-    is_log_available: bool = True  # the start of an attempt can be recorded
+    is_log_available: bool = True  # attempt starts can be recorded
     actions: list[Action] = field(default_factory=list)
     endpoints: dict[str, EndpointRecord] = field(default_factory=dict)
     destinations: dict[int, Destination] = field(default_factory=dict)
     destination_indexes: Iterator[int] = field(default_factory=lambda: itertools.count(1))
     messages: dict[str, Message] = field(default_factory=dict)
     arrivals: int = 0
-    open_messages: int = 0  # without a final result
+    open_messages: int = 0  # messages without a final result
     slots_used: int = 0
-    # Evidence of full connection tables, by kind of destination, and (None) of dropped idle connections.
-    signs: defaultdict[str | None, float] = field(default_factory=lambda: defaultdict(float))
-    stale_until_us: int = 0  # until then idle connections may have been dropped unseen
-    order_queues: dict[int | None, deque[Message]] = field(default_factory=dict)  # by order key
-    key_rests: dict[int, int] = field(default_factory=dict)  # by order key: until when it rests
-    due: list[tuple[int, str]] = field(default_factory=list)  # heap: when to look at a message again
+    # Evidence of full connection tables, by kind of destination; key None: of dropped idle connections.
+    connection_evidence: defaultdict[str | None, float] = field(default_factory=lambda: defaultdict(float))
+    stale_until_us: int = 0  # end of the period in which idle connections are closed
+    order_queues: dict[int | None, deque[Message]] = field(default_factory=dict)  # open messages by order key
+    key_cooldowns: dict[int, int] = field(default_factory=dict)  # end of the cooldown by order key
+    message_timers: list[tuple[int, str]] = field(default_factory=list)  # heap of (time, message id)
     wait_sequence: Iterator[int] = field(default_factory=itertools.count)
-    # What may be returned to its client: by group, in the order of age and in that of arrival.
+    # Candidates for load shedding, by group: one queue by creation time and one by arrival.
     return_queues: defaultdict[tuple[str, float], list[IndexedPriorityQueue[Message]]] = field(
-        default_factory=_return_queues
+        default_factory=_new_return_queues
     )
-    # Work that can't lead to a send is not begun: these find the destinations where it may.
-    touched: dict[int, Destination] = field(default_factory=dict)  # something happened there
-    # When to look at a destination again though nothing happens there.
-    checks: IndexedPriorityQueue[Destination] = field(default_factory=IndexedPriorityQueue)
-    # When a destination opens to which nothing may be sent now.
-    wakes: IndexedPriorityQueue[Destination] = field(default_factory=IndexedPriorityQueue)
-    # Destinations to which something may be sent, by their negative bound of pressure.
-    rank: IndexedPriorityQueue[Destination] = field(default_factory=IndexedPriorityQueue)
-    # Destinations that hold their part of the slots, by calls in flight.
-    crowded: IndexedPriorityQueue[Destination] = field(default_factory=IndexedPriorityQueue)
-    wake_us: int = NEVER
-    failed_polls: int = 0
-
-
-def find_destination(
+    # Indexes that restrict the work of each batch to the destinations that may be sent to.
+    changed_destinations: dict[int, Destination] = field(default_factory=dict)  # to be refreshed
+    # Destinations to refresh at a given time, without an event.
+    scheduled_checks: IndexedPriorityQueue[Destination] = field(default_factory=IndexedPriorityQueue)
+    # Destinations that may not be sent to, by the time at which they open.
+    blocked_destinations: IndexedPriorityQueue[Destination] = field(default_factory=IndexedPriorityQueue)
+    # Destinations that may be sent to, by their negated pressure bound.
+    ready_destinations: IndexedPriorityQueue[Destination] = field(default_factory=IndexedPriorityQueue)
+    # Destinations at their cap of call slots, by calls in flight.
+    saturated_destinations: IndexedPriorityQueue[Destination] = field(default_factory=IndexedPriorityQueue)
+    wake_timer_us: int = NEVER  # due time of the wake timer
+    failed_polls: int = 0  # consecutive failed requests for the endpoint list
+
+
+def get_or_create_destination(
     state: SenderState, number: int, kind_name: str, new_scope: Callable[[], RateLimitScope]
 ) -> Destination:
-    """Return a destination, a new one if it was not heard of before; its kind may become known."""
+    """Return the destination of this number, creating it if necessary.
+
+    A non-empty ``kind_name`` sets its kind; a destination that is not listed yet has a default kind.
+    """
     destination = state.destinations.get(number)
     if destination is None:
         index = next(state.destination_indexes)
@@ -200,8 +206,8 @@
 
 
 def remove_endpoint(state: SenderState, endpoint: EndpointRecord) -> None:
-    """Forget an endpoint that is gone; calls that are in flight there run on."""
-    state.touched[endpoint.destination.index] = endpoint.destination
+    """Remove an endpoint; its calls in flight run to completion."""
+    state.changed_destinations[endpoint.destination.index] = endpoint.destination
     endpoint.is_usable = False
     del state.endpoints[endpoint.target]
     endpoint.scope.endpoints.remove(endpoint)
@@ -209,20 +215,20 @@
 
 
 def add_waiting(state: SenderState, message: Message) -> None:
-    """Let a message wait for an endpoint; meanwhile it may be returned to its client."""
+    """Queue a message for sending, and as a candidate for load shedding."""
     waiting = message.destination.waiting
     waiting.put(message.id, message.group, message.expires_us, next(state.wait_sequence), message)
     keys = (message.created_us, message.sequence)
     for queue, key in zip(state.return_queues[message.group], keys, strict=True):
         queue.put(message.sequence, key, message)
-    state.touched[message.destination.index] = message.destination
+    state.changed_destinations[message.destination.index] = message.destination
 
 
 def complete(state: SenderState, message: Message) -> None:
-    """Owe nothing more for a message; it is forgotten once no attempt of it is in flight."""
+    """Mark a message as completed, and remove it once it has no attempt in flight."""
     if message.id in message.destination.waiting:
         message.destination.waiting.drop(message.id)
-        state.touched[message.destination.index] = message.destination
+        state.changed_destinations[message.destination.index] = message.destination
     state.open_messages -= not message.is_completed
     message.is_completed = True
     if message.in_flight > 0:
@@ -234,6 +240,6 @@
     if message in in_order:
         in_order.remove(message)
         if in_order:
-            state.touched[in_order[0].destination.index] = in_order[0].destination  # the next one's turn
+            state.changed_destinations[in_order[0].destination.index] = in_order[0].destination
         else:
             del state.order_queues[message.order_key]
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -360,7 +360,7 @@
     it.finish_attempt("m", AttemptStatus.OK)
     it.submit_message("n")
     it.finish_attempt("n", AttemptStatus.OK)
-    assert it.sender.state.signs["shop"] > 0
+    assert it.sender.state.connection_evidence["shop"] > 0
 
 
 def test_scarce_slots_go_where_they_earn_most_for_their_time() -> None:
@@ -730,7 +730,7 @@
         it.sender.state.rng.seed(number)
         rows = tuple(Endpoint(t, 1, EndpointState.READY, "shop", weight=10.0) for t in ("a:1", "a:2"))
         it.handle_events(MembershipUpdate(UpdateKind.FULL, 1, rows))
-        it.sender.state.signs["shop"] = 1.0
+        it.sender.state.connection_evidence["shop"] = 1.0
         it.submit_message("m")
         for _ in range(2):
             it.wait(SECOND)  # silent: each connect takes its second
@@ -926,7 +926,7 @@
 
 def test_connects_that_fail_often_show_a_full_table_for_long() -> None:
     closes, it = closes_after(60, range(3, 40, 4), AttemptStatus.CONNECT_FAILED, 50_000)
-    assert closes > 50 and it.sender.state.signs["shop"] > 0
+    assert closes > 50 and it.sender.state.connection_evidence["shop"] > 0
 
 
 def test_one_loss_on_an_idle_connection_after_many_answers_closes_no_others() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -220,8 +220,8 @@
         len(sender.state.endpoints)
         + len(sender.state.messages)
         + len(sender.state.order_queues)
-        + len(sender.state.due)
+        + len(sender.state.message_timers)
         == 0
     )
     assert len(sender.state.destinations) <= 1
-    assert len(sender.state.key_rests) <= 2
+    assert len(sender.state.key_cooldowns) <= 2
