--- a/honeybarrow/actions.py
+++ b/honeybarrow/actions.py
@@ -1,4 +1,4 @@
-"""The actions that :meth:`honeybarrow.policy.sender.Sender.handle` returns, to be carried out in order.
+"""Actions, the output of :meth:`honeybarrow.policy.sender.Sender.handle`, to be carried out in order.
 
 Durations are integers in microseconds.
 """
@@ -10,10 +10,11 @@
 
 @dataclass(slots=True, frozen=True)
 class SendAttempt:
-    """Start an attempt. Those of one reply to one target travel as one call where batches are allowed.
+    """Start an attempt.
 
-    ``start_within_us``: how long from now its last byte may still be written, where that comes later than the
-    decision, as on a connection that has to come up first. Past it the attempt ends as one that has not run.
+    Where batches are allowed, the attempts of one batch of actions to one target are sent as one call.
+    ``start_within_us`` is the time from now within which the last byte must be written, for example on a
+    connection that has yet to be established; afterwards the attempt ends as one that did not run.
     """
 
     message: str
@@ -24,10 +25,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ReturnToClient:
-    """Final result: not delivered, and harmless to submit again.
+    """Give a final result: the message was not delivered and may safely be submitted again.
 
-    ``retry_within_us``: harmless for so long only, for an ambiguous message with an idempotency key;
-    ``None``: no bound.
+    ``retry_within_us`` limits how long that is safe, for an ambiguous message with an idempotency key;
+    ``None`` means without limit.
     """
 
     message: str
@@ -37,14 +38,14 @@
 
 @dataclass(slots=True, frozen=True)
 class FailPermanently:
-    """Final result: failed, with no promise about its effect."""
+    """Give a final result: the message failed and may or may not have taken effect."""
 
     message: str
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a :class:`honeybarrow.events.TimerFired` after so long."""
+    """Request a :class:`honeybarrow.events.TimerFired` event after a delay."""
 
     name: str
     delay_us: int
@@ -52,21 +53,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Subscribe:
-    """Ask for membership updates from now on."""
+    """Request membership updates."""
 
     enable: bool = True
 
 
 @dataclass(slots=True, frozen=True)
 class CloseIdleConnections:
-    """Close this sender's idle connections to an endpoint; calls in flight run on."""
+    """Close this sender's idle connections to an endpoint; calls in flight are not affected."""
 
     target: str
 
 
 @dataclass(slots=True, frozen=True)
 class LogEvent:
-    """A line for the operators' log: an event name and its fields."""
+    """Write a line to the operators' log: an event name and its fields."""
 
     text: str = field(default="")
 
--- a/honeybarrow/bench_adapter.py
+++ b/honeybarrow/bench_adapter.py
@@ -1,7 +1,7 @@
-"""The adapter between the simulator's wire and :class:`honeybarrow.policy.sender.Sender`.
+"""Adapter between the simulator's line protocol and :class:`honeybarrow.policy.sender.Sender`.
 
-It reads batches on standard input and writes one reply to each; it translates and decides nothing.
-A malformed line ends it with a one-line message on standard error and exit status 2.
+It reads batches of events from standard input and writes one reply of actions to each. A malformed line ends
+the process with a one-line message on standard error and exit status 2.
 """
 
 from __future__ import annotations
@@ -62,7 +62,7 @@
     "void": AttemptStatus.NOT_SENT,
 }
 END_OF_BATCH = "your_turn"
-TRAILING_FIELDS = {"options", "text"}  # text fields that run to the end of their line
+TRAILING_FIELDS = {"options", "text"}  # fields whose value extends to the end of the line
 
 Value = TypeVar("Value")
 
@@ -75,13 +75,13 @@
 
 
 class WireLine:
-    """One line of the wire: a name, and fields that are read by name and type.
+    """A line of the protocol: a name, and fields with typed access.
 
-    Each reader raises :class:`WireError` for a field that is missing or of another type.
+    Each method raises :class:`WireError` for a field that is missing or malformed.
     """
 
     def __init__(self, text: str, number: int = 0) -> None:
-        self.line_number = number  # in the input
+        self.line_number = number
         self.name, _, rest = text.partition(" ")
         self.fields: dict[str, str] = {}
         while rest:
@@ -97,14 +97,14 @@
             self.fields[key] = value
 
     def text(self, key: str, default: str | None = None) -> str:
-        """Return a text."""
+        """Return a string."""
         value = self.fields.get(key, default)
         if value is None:
             raise WireError(f"'{self.name}': field '{key}' is missing")
         return value
 
     def integer(self, key: str, default: int | None = None) -> int:
-        """Return a whole number."""
+        """Return an integer."""
         if key not in self.fields and default is not None:
             return default
         try:
@@ -120,21 +120,21 @@
             raise WireError(f"'{self.name}': field '{key}' is not a number") from None
 
     def flag(self, key: str) -> bool:
-        """Return whether a field is 1 rather than 0."""
+        """Return a boolean, ``0`` or ``1``; false if the field is missing."""
         value = self.text(key, "0")
         if value not in ("0", "1"):
             raise WireError(f"'{self.name}': field '{key}' is neither 0 nor 1")
         return value == "1"
 
     def choice(self, key: str, table: dict[str, Value]) -> Value:
-        """Return what a table has for the value of a field."""
+        """Return the value to which ``table`` maps the field."""
         value = self.text(key)
         if value not in table:
             raise WireError(f"'{self.name}': field '{key}' has the unknown value '{value}'")
         return table[value]
 
     def numbers(self, key: str) -> tuple[float, ...]:
-        """Return numbers separated by commas; none for an empty field and for ``-``."""
+        """Return comma-separated numbers; none if the field is missing, empty or ``-``."""
         value = self.text(key, "")
         try:
             return tuple(float(item) for item in value.split(",")) if value not in ("", "-") else ()
@@ -143,7 +143,7 @@
 
 
 def parse_endpoint(line: WireLine) -> Endpoint:
-    """Return one line of a list as an endpoint."""
+    """Parse an ``entry`` line of an endpoint list."""
     return Endpoint(
         target=line.text("target"),
         destination=line.integer("ownerNo"),
@@ -155,9 +155,9 @@
 
 
 class SenderHost:
-    """Hosts the senders of one process and turns a batch into a reply.
+    """The senders of the process, by forwarder number.
 
-    ``line_number``: the line of the input that was read last, for error messages.
+    ``line_number`` is the number of the last input line read, for error messages.
     """
 
     def __init__(self) -> None:
@@ -166,7 +166,10 @@
         self.line_number = 0
 
     def answer_batch(self, now_us: int, lines: list[WireLine]) -> list[str]:
-        """Return the reply lines to one batch. Raises :class:`WireError` for what the wire does not allow."""
+        """Process a batch and return the lines of the reply.
+
+        :raises WireError: if a line is malformed or not allowed here.
+        """
         events: dict[int, list[Event]] = {}  # by sender
         rest = iter(lines)
         for line in rest:
@@ -206,13 +209,16 @@
     def _handle(self, number: int, now_us: int, events: list[Event]) -> list[str]:
         try:
             actions = self.senders[number].handle(now_us, events)
-        except Exception as error:  # the wire has a word for any failure of the decision code
+        except Exception as error:  # any failure of the policy is reported as a reply
             text = " ".join(f"{type(error).__name__}: {error}".split())
             return [f"die forwarder={number} text={text}"]
         return [format_action(number, action) for action in actions]
 
     def parse_event(self, line: WireLine) -> Event:
-        """Return one event of the wire as one of the library's. Raises :class:`WireError`."""
+        """Parse an event line.
+
+        :raises WireError: if the event is unknown or malformed.
+        """
         if line.name == "discovery":
             return self._parse_membership_update(line)
         parse = EVENT_PARSERS.get(line.name)
@@ -293,7 +299,7 @@
 
 
 def format_action(number: int, action: Action) -> str:
-    """Return one of the library's actions as a line of the wire."""
+    """Format an action as a line of the protocol."""
     who = f"forwarder={number}"
     match action:
         case SendAttempt():
@@ -314,7 +320,7 @@
 
 
 class BatchReader:
-    """Collects the lines of the input into batches and answers each when it is complete."""
+    """Collects input lines into batches and processes each batch when it is complete."""
 
     def __init__(self) -> None:
         self.host = SenderHost()
@@ -323,11 +329,14 @@
 
     @property
     def line_number(self) -> int:
-        """The line of the input that was read last."""
+        """Number of the last input line read."""
         return self.host.line_number
 
-    def take(self, number: int, text: str) -> list[str]:
-        """Take one line; return the reply if it ends a batch. Raises :class:`WireError`."""
+    def feed_line(self, number: int, text: str) -> list[str]:
+        """Process an input line; return the reply if the line ends a batch, else nothing.
+
+        :raises WireError: if the line is malformed or not allowed here.
+        """
         self.host.line_number = number
         if not text:
             return []
@@ -353,17 +362,20 @@
         return [*reply, "finished"]
 
     def end(self) -> None:
-        """The input has ended. Raises :class:`WireError` inside a batch."""
+        """Check that the input does not end inside a batch.
+
+        :raises WireError: if it does.
+        """
         if self._opening is not None:
             raise WireError("the input ends inside a batch")
 
 
 def run(source: TextIO, sink: TextIO, error_sink: TextIO) -> int:
-    """Answer batches until the input ends; return the exit status."""
+    """Process batches until the input ends; return the exit status."""
     reader = BatchReader()
     try:
         for number, raw in enumerate(source, start=1):
-            if reply := reader.take(number, raw.rstrip("\n")):
+            if reply := reader.feed_line(number, raw.rstrip("\n")):
                 sink.write("".join(line + "\n" for line in reply))
                 sink.flush()
         reader.end()
@@ -374,7 +386,7 @@
 
 
 def main() -> None:
-    """Run the adapter on standard input and output; the process ends with its exit status."""
+    """Run the adapter on standard input and output, and exit with its status."""
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     sys.exit(run(sys.stdin, sys.stdout, sys.stderr))
 
--- a/honeybarrow/error_catalog.py
+++ b/honeybarrow/error_catalog.py
@@ -1,6 +1,6 @@
-"""The list of all error types and the page ``docs/errors.md`` rendered from it.
+"""List of all error types, and the page ``docs/errors.md`` that is rendered from it.
 
-Importing every module of the package is what this needs, so only documentation and tests use it.
+Listing the types imports every module of the package, so only documentation and tests use this module.
 """
 
 from __future__ import annotations
@@ -14,22 +14,24 @@
 
 
 def list_error_types() -> list[type[HoneybarrowError]]:
-    """All types of errors of the program, by code. Imports all of it, so it is for pages and tests."""
+    """Import the whole package and return its error types, sorted by code."""
     for module in pkgutil.walk_packages(honeybarrow.__path__, "honeybarrow."):
         if not module.name.endswith("__main__"):
             importlib.import_module(module.name)
 
-    def below(cls: type[HoneybarrowError]) -> Iterator[type[HoneybarrowError]]:
+    def iter_subclasses(cls: type[HoneybarrowError]) -> Iterator[type[HoneybarrowError]]:
         for each in cls.__subclasses__():
             yield each
-            yield from below(each)
+            yield from iter_subclasses(each)
 
-    found = {each: None for each in below(HoneybarrowError) if each.__module__.startswith("honeybarrow.")}
+    found = {
+        each: None for each in iter_subclasses(HoneybarrowError) if each.__module__.startswith("honeybarrow.")
+    }
     return sorted(found, key=lambda each: each.code)
 
 
 def render_error_page() -> str:
-    """``docs/errors.md``."""
+    """Return the text of ``docs/errors.md``."""
     lines = [
         "# Errors",
         "",
--- a/honeybarrow/errors.py
+++ b/honeybarrow/errors.py
@@ -1,11 +1,10 @@
-"""The base of all errors of the program: what is wrong, why, and what an operator can do about it.
+"""Base class of the program's errors, with a code, the cause and a remedy for operators.
 
-Every error of the program descends from :class:`HoneybarrowError` and has a ``code`` that stays the same
-over versions, so that it can be searched for, and a ``remedy`` for the person on call. A class without them
-can't be defined. The command line, the log and answers to operators show all of them; ``docs/errors.md``
-lists them and is rendered from the classes by :mod:`honeybarrow.error_catalog`.
+Every error of the program derives from :class:`HoneybarrowError` and defines a ``code`` that is stable across
+versions and a ``remedy`` for the person on call. The command line, the log and replies to operators show
+both; ``docs/errors.md`` lists them and is rendered from the classes by :mod:`honeybarrow.error_catalog`.
 
-Standard library only: the platform's process and the adapter import this.
+The module uses the standard library only, since the platform's process and the adapter import it.
 """
 
 from __future__ import annotations
@@ -14,14 +13,17 @@
 from typing import Any, ClassVar
 
 CODE_PATTERN = re.compile(r"HB[1-9]\d\d")
-USAGE_EXIT_STATUS = 2  # exit status of wrong use or settings
+USAGE_EXIT_STATUS = 2  # exit status after invalid usage or settings
 
 
 class HoneybarrowError(Exception):
-    """An error that a person may get to see.
+    """Base class of errors that are shown to users and operators.
 
-    ``what``: one line, with the thing concerned; ``why``: what was found there, if that says more. ``remedy``
-    is the type's own unless a case knows better. ``status``: the exit status where it ends a command.
+    ``what`` names the object concerned and the problem in one line, and ``why`` the cause if known.
+    ``remedy`` overrides the remedy of the class. ``status`` is the exit status of a command that ends with
+    the error.
+
+    Defining a subclass without a code of its own, a remedy and a docstring raises ``TypeError``.
     """
 
     code: ClassVar[str] = "HB000"
@@ -33,18 +35,18 @@
         self.what, self.why = what, why
         self.remedy = remedy or type(self).remedy
 
-    def __init_subclass__(cls, **more: Any) -> None:
-        super().__init_subclass__(**more)
+    def __init_subclass__(cls, **kwargs: Any) -> None:
+        super().__init_subclass__(**kwargs)
         if CODE_PATTERN.fullmatch(cls.__dict__.get("code", "")) is None:
-            raise TypeError(f"{cls.__name__} has no code of its own like HB101")
+            raise TypeError(f"{cls.__name__} must define a code of its own, such as HB101")
         if not cls.remedy or not cls.__doc__:
-            raise TypeError(f"{cls.__name__} has no remedy, or does not say what it is")
+            raise TypeError(f"{cls.__name__} must define a remedy and a docstring")
 
     def __str__(self) -> str:
         return f"{self.what}: {self.why}" if self.why else self.what
 
     def log_fields(self) -> dict[str, str]:
-        """Return the fields of a structured log line about this error."""
+        """Return the fields of a structured log entry about this error."""
         found = {"what": self.what, "why": self.why, "remedy": self.remedy, "code": self.code}
         return {name: text for name, text in found.items() if text}
 
@@ -58,14 +60,14 @@
 
 
 def format_error(error: BaseException) -> str:
-    """Return the error in one line and, below it, what an operator can do."""
+    """Return the error message, followed by a line with remedy and code if it is an error of the program."""
     if not isinstance(error, HoneybarrowError):
         return str(error)
     return f"{error}\n  remedy: {error.remedy} [{error.code}]"
 
 
 def error_log_fields(error: BaseException) -> dict[str, str]:
-    """Return the fields of a log line about an error of any type."""
+    """Return the fields of a structured log entry about an exception of any type."""
     return (
         error.log_fields()
         if isinstance(error, HoneybarrowError)
--- a/honeybarrow/events.py
+++ b/honeybarrow/events.py
@@ -1,6 +1,6 @@
-"""The events that :meth:`honeybarrow.policy.sender.Sender.handle` takes.
+"""Events, the input of :meth:`honeybarrow.policy.sender.Sender.handle`.
 
-Times are integers in microseconds on the caller's monotone clock; durations end in ``_us``.
+Durations are integers in microseconds and end in ``_us``.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class AttemptStatus(enum.Enum):
-    """How an attempt ended."""
+    """Outcome of an attempt."""
 
     OK = "ok"
     ERROR = "error"
@@ -20,11 +20,11 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     NOT_SENT = "not_sent"
-    REJECTED = "rejected"  # answered, and for good: no retry of this message can succeed
+    REJECTED = "rejected"  # permanently: no retry of this message can succeed
 
 
 class EndpointState(enum.Enum):
-    """What the endpoint list says of an endpoint; nothing of its health."""
+    """State of an endpoint in the endpoint list; independent of its health."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -32,7 +32,7 @@
 
 
 class UpdateKind(enum.Enum):
-    """How a membership update relates to the list known before."""
+    """Relation of a membership update to the previous endpoint list."""
 
     CHANGES = "changes"
     FULL = "full"
@@ -42,7 +42,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """One entry of the endpoint list. ``weight``: see :class:`honeybarrow.settings.WeightSource`."""
+    """An entry of the endpoint list.
+
+    :class:`honeybarrow.settings.WeightSource` defines the meaning of ``weight``.
+    """
 
     target: str
     destination: int
@@ -54,10 +57,10 @@
 
 @dataclass(slots=True, frozen=True)
 class MessageArrived:
-    """A message was accepted and is owed one final result.
+    """A message was accepted and requires one final result.
 
-    One that was accepted by an earlier incarnation of the process brings its past: the attempts it has had,
-    and how long ago (microseconds) the first that may have run was sent, if one was.
+    A message recovered after a restart carries the number of its previous ``attempts``, and in
+    ``ambiguous_age_us`` the time since the start of the first attempt that may have run, if there was one.
     """
 
     message: str
@@ -73,11 +76,11 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptFinished:
-    """An attempt has its outcome; ``is_completed`` tells that the message has its final result.
+    """An attempt has ended.
 
-    ``not_run`` tells that the caller can prove that the attempt had no effect, whatever its status:
-    an error answered, or a connection lost, before the end of the message was written. The statuses
-    full, connect failed, not sent and rejected prove it by themselves.
+    ``is_completed`` means that the message has its final result. ``not_run`` means that the attempt provably
+    had no effect whatever its status, for example because the connection was lost before the end of the
+    message was written. The statuses ``FULL``, ``CONNECT_FAILED``, ``NOT_SENT`` and ``REJECTED`` imply it.
     """
 
     message: str
@@ -94,7 +97,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptStreaming:
-    """The response to an attempt has started and now belongs to the client."""
+    """The response to an attempt has started and is being passed on to the client."""
 
     message: str
     attempt: int
@@ -104,21 +107,21 @@
 
 @dataclass(slots=True, frozen=True)
 class MessageExpired:
-    """The client has withdrawn this message; no final result is owed."""
+    """The client withdrew this message, which needs no final result any more."""
 
     message: str
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer that the sender had asked for is due."""
+    """A timer set by :class:`honeybarrow.actions.SetTimer` has fired."""
 
     name: str
 
 
 @dataclass(slots=True, frozen=True)
 class MembershipUpdate:
-    """The endpoint list, changes to it, or the notice that none can be had."""
+    """The endpoint list, changes to it, or the notice that it is unavailable."""
 
     kind: UpdateKind
     version: int = 0
@@ -127,7 +130,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HealthCheckFinished:
-    """The result of a health check. This sender starts none of its own."""
+    """The result of a health check made by the platform. The policy ignores it."""
 
     target: str
     status: AttemptStatus
@@ -137,7 +140,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessageReceived:
-    """Bytes from another sender. This sender uses no such channel."""
+    """Bytes from another sender. The policy ignores them."""
 
     peer: int
     content: bytes = b""
@@ -145,7 +148,10 @@
 
 @dataclass(slots=True, frozen=True)
 class LogAvailability:
-    """Whether the start of an attempt can be recorded now, as one that must not run twice needs."""
+    """A change in whether attempt starts can be recorded in the message log.
+
+    Only idempotent messages are sent while they cannot.
+    """
 
     is_available: bool
 
--- a/honeybarrow/ports.py
+++ b/honeybarrow/ports.py
@@ -1,7 +1,7 @@
-"""The ports of the program as typing protocols: clock, network, log, observers, the log of messages.
+"""Protocols of the program's dependencies: clock, network, logger, observers and message log.
 
-They are handed in, never imported. Twisted's reactor and its ``task.Clock`` fit, and so does a simulated
-reactor; the names in mixed case are Twisted's.
+Implementations are passed in as arguments. Twisted's reactor and its ``task.Clock`` satisfy the first ones,
+as does a simulated reactor; the mixed-case names are Twisted's.
 """
 
 from __future__ import annotations
@@ -13,27 +13,27 @@
 
 
 class DelayedCall(Protocol):
-    """A call that is due later."""
+    """A scheduled call."""
 
     def active(self) -> bool:
-        """Return whether the call is still due."""
+        """Return whether the call is still pending."""
 
     def cancel(self) -> None:
-        """Call it off. Raises if it is no longer due."""
+        """Cancel the call. Raises an exception if it is no longer pending."""
 
 
 class Clock(Protocol):
-    """Seconds, and calls after so many of them."""
+    """A clock that schedules calls."""
 
     def seconds(self) -> float:
-        """Return the time in seconds."""
+        """Return the current time in seconds."""
 
     def callLater(self, delay: float, callable: Callable[..., Any], *args: Any) -> Any:
-        """Call a function after so many seconds."""
+        """Call a function after ``delay`` seconds."""
 
 
 class Network(Protocol):
-    """TCP connections, out and in."""
+    """Stream connections, outbound and inbound."""
 
     def connectTCP(self, host: str, port: int, factory: Any, timeout: float = 30) -> Any:
         """Open a TCP connection; ``timeout`` in seconds."""
@@ -46,7 +46,7 @@
 
 
 class Reactor(Clock, Network, Protocol):
-    """Both, and Unix sockets and datagrams to listen at."""
+    """A clock and network that also listens on Unix sockets and for datagrams."""
 
     def listenUNIX(self, address: str, factory: Any) -> Any:
         """Listen on a Unix socket."""
@@ -56,34 +56,34 @@
 
 
 class AttemptPermit(Protocol):
-    """Permission to write an attempt that was decided before, checked again where its bytes are written.
+    """Permission to write the bytes of an attempt, checked again right before they are written.
 
-    In between a connection comes up or replies are awaited, and meanwhile the endpoint may drain or send a
-    Retry-After, and the window in which a retry is harmless may end.
+    Between the decision and the write, the endpoint may drain or send a Retry-After, and the window in which
+    a retry is safe may end.
     """
 
     def refusal_reason(self) -> str:
-        """Return why no byte of the attempt may be written now; empty if it may."""
+        """Return why the attempt may not be written now; empty if it may."""
         ...
 
     def record_start(self) -> str:
-        """Record the start, right before the first byte; return why it may not start, empty if it may."""
+        """Record the start right before the first byte; return why it may not start, empty if it may."""
         ...
 
     def record_permitted_start(self) -> str:
-        """Record the start without asking again, where nothing has passed since the permission.
+        """Record the start without checking the permission again, right after :meth:`refusal_reason`.
 
-        Danger: what watches attempts may withdraw the endpoint as this very attempt begins.
+        A second check could fail because an observer of attempts withdraws the endpoint at this very start.
         """
         ...
 
     def time_left_us(self) -> int:
-        """Return how long its last byte may still be written, in microseconds; negative if it may not."""
+        """Return the time left to write the last byte, in microseconds; negative if it is too late."""
         ...
 
 
 class Logger(Protocol):
-    """What is used of a structured logger."""
+    """The subset of a structured logger that the program uses."""
 
     def debug(self, event: str, **fields: Any) -> Any:
         """Log an event with its fields for developers."""
@@ -92,88 +92,88 @@
         """Log an event with its fields."""
 
     def warning(self, event: str, **fields: Any) -> Any:
-        """Log an event that an operator may want to look into."""
+        """Log an event that an operator may want to investigate."""
 
     def error(self, event: str, **fields: Any) -> Any:
-        """Log an event that needs an operator."""
+        """Log an event that requires an operator."""
 
 
 class Observer(Protocol):
-    """Notified of what happens to a message. Times are microseconds."""
+    """Receives notifications about messages. Durations are in microseconds."""
 
     def message_accepted(self, message: str, class_name: str, partner: str, left_us: int) -> None:
-        """A message was accepted."""
+        """Report that a message was accepted."""
 
     def attempt_started(self, message: str, number: int, target: str) -> None:
-        """An attempt is about to go out."""
+        """Report that an attempt is about to be sent."""
 
     def attempt_finished(self, message: str, number: int, status: str, took_us: int, why: str) -> None:
-        """An attempt has its outcome."""
+        """Report the outcome of an attempt."""
 
     def message_completed(
         self, message: str, answer: str, took_us: int, called_us: int, left_us: int
     ) -> None:
-        """A message has its final result."""
+        """Report the final result of a message."""
 
     def message_rejected(self, why: str) -> None:
-        """A message was rejected before it was accepted."""
+        """Report that a message was rejected instead of accepted."""
 
 
 class NullObserver:
-    """Observes nothing."""
+    """An :class:`Observer` that ignores all notifications."""
 
     def message_accepted(self, message: str, class_name: str, partner: str, left_us: int) -> None:
-        """A message was accepted."""
+        """Ignore the notification."""
 
     def attempt_started(self, message: str, number: int, target: str) -> None:
-        """An attempt is about to go out."""
+        """Ignore the notification."""
 
     def attempt_finished(self, message: str, number: int, status: str, took_us: int, why: str) -> None:
-        """An attempt has its outcome."""
+        """Ignore the notification."""
 
     def message_completed(
         self, message: str, answer: str, took_us: int, called_us: int, left_us: int
     ) -> None:
-        """A message has its final result."""
+        """Ignore the notification."""
 
     def message_rejected(self, why: str) -> None:
-        """A message was rejected before it was accepted."""
+        """Ignore the notification."""
 
 
 class CallObserver(Protocol):
-    """Told of each call that goes out and of its outcome, whatever becomes of its message."""
+    """Receives the start and outcome of each attempt, whatever the result of its message."""
 
     def attempt_started(self, message: str, attempt: int, target: str) -> None:
-        """An attempt is about to go out."""
+        """Report that an attempt is about to be sent."""
 
     def attempt_finished(self, message: str, attempt: int, status: AttemptStatus) -> None:
-        """An attempt has its outcome."""
+        """Report the outcome of an attempt."""
 
 
 class NullCallObserver:
-    """Watches no calls."""
+    """A :class:`CallObserver` that ignores all notifications."""
 
     def attempt_started(self, message: str, attempt: int, target: str) -> None:
-        """An attempt is about to go out."""
+        """Ignore the notification."""
 
     def attempt_finished(self, message: str, attempt: int, status: AttemptStatus) -> None:
-        """An attempt has its outcome."""
+        """Ignore the notification."""
 
 
 class MessageLog(Protocol):
-    """Keeps what was accepted beyond the process.
+    """A durable log of accepted messages and their attempts.
 
-    ``commit`` writes all that was recorded since; if it can't, what was accepted since is not kept, and the
-    rest is written with the next one. ``record_attempt_started`` writes at once.
+    Records are buffered until ``commit``. If it fails, the messages accepted since the last commit are not
+    kept, and the other records are written by the next one. ``record_attempt_started`` writes immediately.
     """
 
     def record_accepted(self, submission: Any) -> None:
         """Record a message that was accepted."""
 
     def record_attempt_started(self, message: str, attempt: int, must_be_kept: bool) -> bool:
-        """Record the start of an attempt at once; return whether that could be done.
+        """Write the start of an attempt immediately; return whether that succeeded.
 
-        One that could not be and ``must_be_kept`` is forgotten, since the attempt does not start.
+        After a failure with ``must_be_kept`` the record is discarded, since the attempt does not start.
         """
 
     def record_attempt_finished(
@@ -182,30 +182,30 @@
         """Record the outcome of an attempt."""
 
     def record_completed(self, message: str) -> None:
-        """Record that nothing more is owed for a message."""
+        """Record that a message is completed."""
 
     def commit(self) -> bool:
-        """Write what was recorded; return whether that could be done."""
+        """Write the buffered records; return whether that succeeded."""
 
 
 class NullMessageLog:
-    """Keeps nothing: whoever hands in hears the end from this process, or hands in again."""
+    """A :class:`MessageLog` that keeps nothing, for clients that submit again after a crash."""
 
     def record_accepted(self, submission: Any) -> None:
-        """Record a message that was accepted."""
+        """Record nothing."""
 
     def record_attempt_started(self, message: str, attempt: int, must_be_kept: bool) -> bool:
-        """Record nothing; an attempt may always start."""
+        """Record nothing and permit the attempt."""
         return True
 
     def record_attempt_finished(
         self, message: str, attempt: int, status: AttemptStatus, not_run: bool
     ) -> None:
-        """Record the start of an attempt at once; return whether that could be done."""
+        """Record nothing."""
 
     def record_completed(self, message: str) -> None:
-        """Record that nothing more is owed for a message."""
+        """Record nothing."""
 
     def commit(self) -> bool:
-        """Write nothing, successfully."""
+        """Write nothing and report success."""
         return True
--- a/honeybarrow/settings.py
+++ b/honeybarrow/settings.py
@@ -1,6 +1,6 @@
-"""What a sender is configured with: message classes, kinds of destination, limits.
+"""Settings of a sender: message classes, kinds of destination and limits.
 
-Times are integers in microseconds; nothing here decides anything.
+Durations are integers in microseconds and end in ``_us``.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Idempotency(enum.Enum):
-    """What a retry of a message may do at its destination."""
+    """Effect of sending a message more than once."""
 
     IDEMPOTENT = "safe"
     IDEMPOTENT_WITH_KEY = "keyed"
@@ -20,14 +20,14 @@
 
 
 class UtilityDecay(enum.Enum):
-    """How the utility of a message falls once its latency objective has passed."""
+    """Shape of the decay of a message's utility past its latency objective."""
 
     LINEAR = "line"
     HALVING = "halves"
 
 
 class WeightSource(enum.Enum):
-    """What the weight of a listed endpoint means."""
+    """Meaning of the weight of a listed endpoint: unused, its rate limit, or an approximate rate limit."""
 
     NONE = "none"
     NOMINAL = "nominal"
@@ -36,10 +36,11 @@
 
 @dataclass(slots=True, frozen=True)
 class MessageClass:
-    """One class of message.
+    """Delivery requirements of a class of messages.
 
-    ``key_scope``: ``all``, or where its endpoints know an idempotency key, such as ``zone``; they know it for
-    ``key_window_us``. ``late_utility``: the part of the utility that is left at the deadline.
+    Destinations remember an idempotency key for ``key_window_us``, in all their endpoints if ``key_scope`` is
+    ``all``, else only within the named scope, such as ``zone``. ``late_utility`` is the fraction of the
+    utility that remains at the deadline.
     """
 
     name: str
@@ -55,7 +56,11 @@
 
 @dataclass(slots=True, frozen=True)
 class DestinationKind:
-    """One kind of destination: messages in one call at most, and whether each route has its own limit."""
+    """Properties shared by destinations of one kind.
+
+    ``max_batch_size`` is the maximum number of messages in one call; with ``has_separate_routes`` each route
+    has a rate limit of its own.
+    """
 
     name: str
     max_batch_size: int = 1
@@ -64,7 +69,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """One tenant and the messages a second that it may submit, over all senders together."""
+    """A tenant and its quota in messages per second, over all senders together."""
 
     name: str
     quota_per_s: float
@@ -72,10 +77,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Everything that a sender is configured with when it starts.
+    """The configuration of a sender.
 
-    ``collapse_*``, ``start_capacity`` and ``warm_up_us`` describe a destination that returns: it starts at
-    that part of its capacity, is warm after so long, and collapses under so many times what it bears.
+    ``start_capacity``, ``warm_up_us`` and ``collapse_*`` describe a destination that returns after an outage:
+    it starts at that fraction of its capacity, reaches full capacity after the warm-up, and collapses if the
+    calls within ``collapse_window_us`` exceed ``collapse_multiple`` times its capacity at that time.
     """
 
     classes: tuple[MessageClass, ...]
@@ -106,7 +112,10 @@
 
 
 def validate_settings(settings: Settings) -> None:
-    """Raise :class:`InvalidValueError` for settings that contradict themselves."""
+    """Check that settings are consistent.
+
+    :raises InvalidValueError: for a value that is out of range or contradicts another one.
+    """
     counts = {
         "slots": settings.slots,
         "max_open": settings.max_open,
@@ -115,14 +124,15 @@
     }
     for name, count in counts.items():
         if count < 1:
-            raise InvalidValueError(f"{name} must be at least 1")
+            raise InvalidValueError(f"{name} must be at least 1, got {count}")
     for item in settings.classes:
         if min(item.latency_objective_us, item.key_window_us, item.priority_weight, item.late_utility) < 0:
             raise InvalidValueError(
                 f"classes: {item.name}: latency_objective_us, key_window_us, priority_weight and "
-                "late_utility can't be negative"
+                "late_utility must not be negative"
             )
         if item.deadline_us < item.latency_objective_us:
             raise InvalidValueError(
-                f"classes: {item.name}: deadline_us (hard cap) is under latency_objective_us (soft cap)"
+                f"classes: {item.name}: deadline_us {item.deadline_us} is less than latency_objective_us "
+                f"{item.latency_objective_us}"
             )
--- a/honeybarrow/wire_settings.py
+++ b/honeybarrow/wire_settings.py
@@ -1,7 +1,7 @@
-"""The settings object of the platform, as the library's own type.
+"""Parser of the platform's JSON settings object into :class:`honeybarrow.settings.Settings`.
 
-The simulator's first message and the configuration file of a real forwarder carry the same object; this is
-its only reader. Standard library only.
+The simulator's first message and the configuration file of a forwarder carry this object. The module uses the
+standard library only.
 """
 
 from __future__ import annotations
@@ -41,9 +41,9 @@
 
 
 class JsonObjectReader:
-    """A JSON object of the settings, read by path and type; unknown keys are skipped.
+    """Typed access to a JSON object; errors name the path of the value, and unknown keys are ignored.
 
-    Each reader raises :class:`SettingsError` for a value that is missing or of another type.
+    Each method raises :class:`SettingsError` for a value that is missing or of the wrong type.
     """
 
     def __init__(self, value: Any, path: str) -> None:
@@ -53,7 +53,10 @@
         self.path = path
 
     def get(self, key: str, kinds: tuple[type, ...], default: Any, what: str) -> Any:
-        """Return a value of one of these types, or its default; ``what`` names the type in errors."""
+        """Return a value of one of the given types, or the default; ``what`` names the type in errors.
+
+        A value without a default is required.
+        """
         value = self.value.get(key)
         if value is None:
             if default is None:
@@ -64,7 +67,7 @@
         return value
 
     def integer(self, key: str, default: int | None = None) -> int:
-        """Return a whole number; a number with a part after the point is cut."""
+        """Return an integer; a fractional number is truncated."""
         return int(self.get(key, (int, float), default, "a number"))
 
     def number(self, key: str, default: float | None = None) -> float:
@@ -72,28 +75,28 @@
         return float(self.get(key, (int, float), default, "a number"))
 
     def text(self, key: str, default: str | None = None) -> str:
-        """Return a text."""
-        return str(self.get(key, (str,), default, "a text"))
+        """Return a string."""
+        return str(self.get(key, (str,), default, "a string"))
 
     def flag(self, key: str) -> bool:
-        """Return a flag; false if it is missing."""
-        return bool(self.get(key, (bool, int), False, "a flag"))
+        """Return a boolean; false if it is missing."""
+        return bool(self.get(key, (bool, int), False, "a boolean"))
 
     def items(self, key: str, default: list[Any] | None = None) -> list[Any]:
         """Return a list."""
         return list(self.get(key, (list,), default, "a list"))
 
     def rows(self, key: str, default: list[Any] | None = None) -> Iterator[JsonObjectReader]:
-        """Yield the objects of a list, one after another."""
+        """Yield a reader for each object of a list."""
         for index, row in enumerate(self.items(key, default)):
             yield JsonObjectReader(row, f"{self.path}{key}[{index}].")
 
     def section(self, key: str) -> JsonObjectReader:
-        """Return an object within; an empty one if it is missing."""
+        """Return a reader for a nested object; an empty one if it is missing."""
         return JsonObjectReader(self.get(key, (dict,), {}, "an object"), f"{self.path}{key}.")
 
     def choice(self, key: str, table: dict[str, Choice], default: str) -> Choice:
-        """Return what a table has for a text."""
+        """Return the value to which ``table`` maps a string."""
         value = self.text(key, default)
         if value not in table:
             raise SettingsError(f"setting '{self.path}{key}' has the unknown value '{value}'")
@@ -101,7 +104,10 @@
 
 
 def read_settings(text: str) -> Settings:
-    """Return the settings that a JSON text holds. Raises :class:`SettingsError`."""
+    """Parse settings from JSON text.
+
+    :raises SettingsError: if the text is not JSON or a setting is invalid.
+    """
     try:
         return parse_settings(json.loads(text))
     except json.JSONDecodeError as error:
@@ -109,7 +115,10 @@
 
 
 def parse_settings(value: Any) -> Settings:
-    """Return the settings that a JSON object holds. Raises :class:`SettingsError`."""
+    """Parse settings from a decoded JSON object.
+
+    :raises SettingsError: if a setting is missing or invalid.
+    """
     top = JsonObjectReader(value, "")
     family, limits, rules = top.section("familyInfo"), top.section("limits"), top.section("guarantees")
     return Settings(
@@ -159,7 +168,7 @@
 
 
 def _parse_kinds(top: JsonObjectReader, family: JsonObjectReader) -> tuple[DestinationKind, ...]:
-    """Return the kinds; what is missing at the end of the lists beside their names is the default."""
+    """Return the kinds; missing trailing items of ``bundleMax`` and ``separateRoutes`` have defaults."""
     batch_sizes, separate_routes = family.items("bundleMax", []), family.items("separateRoutes", [])
     return tuple(
         DestinationKind(
