--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The same verdict every time: generated examples follow from the tests' text alone. And the known red."""
+"""Pytest configuration: deterministic hypothesis examples, a strict message guard, and known failures."""
 
 import os
 from collections.abc import Iterator
@@ -12,14 +12,14 @@
 
 __all__ = ["pytest_collection_modifyitems", "pytest_runtest_protocol", "pytest_terminal_summary"]
 
-# A violation of the guard fails the test, also in the processes that it starts.
+# A violation of the message guard fails the test, also in processes that the test starts.
 MessageGuard.is_strict = True
 os.environ[STRICT_GUARD_VARIABLE] = "1"
 
 
 @pytest.fixture(autouse=True)
 def _no_guard_violation() -> Iterator[None]:
-    """Fail a test in which a strict guard reported a violation, also where Twisted caught what it raised."""
+    """Fail a test in which the strict guard reported a violation, even if Twisted caught the exception."""
     MessageGuard.strict_violations.clear()
     yield
     violations = list(MessageGuard.strict_violations)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests share: small settings and a caller that keeps the clock."""
+"""Shared test helpers: settings, clocks, a permit, and a driver of one sender in simulated time."""
 
 from __future__ import annotations
 
@@ -44,12 +44,12 @@
 
 
 def make_clocks(monotonic_us: Callable[[], int], wall_us: Callable[[], int] | None = None) -> Clocks:
-    """Clocks in the test's hands, of one boot; both alike unless a wall clock is given."""
+    """Return clocks with the given readings; the wall clock defaults to the monotonic one."""
     return Clocks(monotonic_us, wall_us or monotonic_us, "boot")
 
 
 def settings(**changes: Any) -> Settings:
-    """Settings for most tests."""
+    """Return the default test settings with the given changes."""
     values: dict[str, Any] = {
         "classes": CLASSES,
         "kinds": KINDS,
@@ -64,7 +64,7 @@
 
 
 class FakePermit:
-    """A permit to write calls, which a test may withdraw."""
+    """A permit that refuses if a test sets ``reason``."""
 
     def __init__(self, left_us: int = 1 << 62, reason: str = "") -> None:
         self.left_us, self.reason = left_us, reason
@@ -83,7 +83,7 @@
 
 
 class SenderDriver:
-    """Feeds a sender, keeps its timers, and remembers what it did."""
+    """Drives one sender in simulated time: delivers events, fires timers and records actions."""
 
     def __init__(self, **changes: Any) -> None:
         self.settings = settings(**changes)
@@ -96,7 +96,7 @@
         self.attempt_counts: dict[str, int] = {}
 
     def handle_events(self, *events: Event) -> list[Action]:
-        """Give events at the present time."""
+        """Deliver events at the current time; return the actions."""
         actions = self.sender.handle(self.now, list(events))
         for action in actions:
             if isinstance(action, SetTimer):
@@ -111,7 +111,7 @@
         return actions
 
     def wait(self, duration_us: int) -> None:
-        """Let time pass, timers firing when they are due."""
+        """Advance the time, firing timers as they become due."""
         end = self.now + duration_us
         while self.timers and min(self.timers)[0] <= end:
             timer = min(self.timers)
@@ -128,26 +128,26 @@
     def submit_message(
         self, name: str, kind: str = "note", destination: int = 1, **more: Any
     ) -> list[Action]:
-        """A message arrives."""
+        """Deliver the arrival of a message; return the actions."""
         spec = self.sender.classes[kind]
         more.setdefault("time_left_us", spec.deadline_us)
         return self.handle_events(MessageArrived(name, kind, destination, **more))
 
     def finish_attempt(self, name: str, status: AttemptStatus, **more: Any) -> list[Action]:
-        """The newest attempt of a message ends."""
+        """Finish the newest attempt of a message; return the actions."""
         send = next(s for _, s in reversed(self.sends) if s.message == name)
-        over = status is AttemptStatus.OK
+        is_completed = status is AttemptStatus.OK
         number = self.attempt_counts[name] - 1
         return self.handle_events(
-            AttemptFinished(name, number, send.target, status, is_completed=over, **more)
+            AttemptFinished(name, number, send.target, status, is_completed=is_completed, **more)
         )
 
     def get_send_times(self, name: str) -> list[int]:
-        """When a message was sent."""
+        """Return the times at which a message was sent."""
         return [at for at, send in self.sends if send.message == name]
 
     def wait_until_sent(self, name: str, limit_us: int = 10 * SECOND) -> bool:
-        """Let time pass until a message is sent once more."""
+        """Advance the time until a message is sent again; return whether it was within the limit."""
         before, end = len(self.get_send_times(name)), self.now + limit_us
         while self.now < end and len(self.get_send_times(name)) == before:
             self.wait(10_000)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -1,4 +1,4 @@
-"""The ramp holds for the whole fleet: a few of the returns that ``benchmarks/cold_fleet.py`` plays."""
+"""The slow start of a whole fleet, on some of the scenarios of ``benchmarks/cold_fleet.py``."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from benchmarks.cold_fleet import OUTAGES, SHAPES, Return, play
 from honeybarrow.policy import endpoint_health
 
-DAYS = [
+RETURNS = [
     Return(senders, shape, OUTAGES[number % len(OUTAGES)], number)
     for senders, seeds in ((20, (0, 1, 2)), (30, (3, 4, 5)), (200, (6,)))
     for number in seeds
@@ -15,16 +15,20 @@
 ]
 
 
-@pytest.mark.parametrize("day", DAYS, ids=lambda day: f"{day.senders}-{day.shape}-{day.outage}-{day.seed}")
-def test_all_senders_together_stay_within_the_budget_of_a_returning_destination(day: Return) -> None:
-    assert play(day).worst <= 1.0
+@pytest.mark.parametrize(
+    "returning",
+    RETURNS,
+    ids=lambda returning: f"{returning.senders}-{returning.shape}-{returning.outage}-{returning.seed}",
+)
+def test_all_senders_together_stay_within_the_budget_of_a_returning_destination(returning: Return) -> None:
+    assert play(returning).worst <= 1.0
 
 
 @pytest.mark.parametrize("outage", OUTAGES)
-def test_without_the_spread_after_a_failure_the_fleet_is_over_it(
+def test_without_randomized_backoff_the_fleet_exceeds_the_budget(
     monkeypatch: pytest.MonkeyPatch, outage: str
 ) -> None:
-    """What the test above would say, were each sender to come as soon as it may."""
+    """Checks that the test above detects senders that all return as early as permitted."""
     monkeypatch.setattr(
         endpoint_health,
         "rest_until_us",
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Errors: each of the program's own tells what an operator can do, and the page says the same."""
+"""Error types: codes, remedies, formatting, and the generated page ``docs/errors.md``."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_each_type_of_the_program_descends_from_the_one_base_with_a_code_of_its_own() -> None:
+def test_every_error_type_derives_from_the_base_with_a_unique_code() -> None:
     types = error_catalog.list_error_types()
     codes = [each.code for each in types]
     assert len(types) >= 13 and len(dict.fromkeys(codes)) == len(codes)
@@ -30,7 +30,7 @@
                 assert path.name == "errors.py", f"{path}: {line}"
 
 
-def test_the_page_is_made_from_the_classes() -> None:
+def test_the_errors_page_matches_the_classes() -> None:
     assert (ROOT / "docs/errors.md").read_text() == error_catalog.render_error_page()
 
 
@@ -42,12 +42,12 @@
         {"code": "HB999", "remedy": "It does not say what it is."},
     ],
 )
-def test_a_type_without_code_remedy_or_word_can_not_be_made(body: dict[str, str]) -> None:
+def test_a_type_without_code_remedy_or_docstring_cannot_be_defined(body: dict[str, str]) -> None:
     with pytest.raises(TypeError):
         type("Bad", (HoneybarrowError,), body)
 
 
-def test_an_error_tells_what_why_and_what_to_do() -> None:
+def test_an_error_shows_problem_cause_and_remedy() -> None:
     error = InvalidValueError("slots", "there are none", remedy="give it one")
     assert str(error) == "slots: there are none"
     assert format_error(error) == "slots: there are none\n  remedy: give it one [HB101]"
--- a/tests/test_priority_queue.py
+++ b/tests/test_priority_queue.py
@@ -1,4 +1,4 @@
-"""The orders that are kept as things change, against a plain sort."""
+"""The queues and the lazy merge, compared with sorting as a model."""
 
 from __future__ import annotations
 
@@ -23,103 +23,107 @@
 
 
 @given(STEPS)
-def test_an_agenda_is_a_sorted_list_by_key_and_number(steps: list[tuple[str, int, int]]) -> None:
-    agenda: IndexedPriorityQueue[str] = IndexedPriorityQueue()
+def test_a_queue_is_ordered_by_key_and_number(steps: list[tuple[str, int, int]]) -> None:
+    queue: IndexedPriorityQueue[str] = IndexedPriorityQueue()
     model: dict[int, int] = {}
-    for what, number, key in steps:
-        if what == "put":
-            agenda.put(number, key, f"i{number}")
+    for operation, number, key in steps:
+        if operation == "put":
+            queue.put(number, key, f"i{number}")
             model[number] = key
-        elif what == "drop":
-            agenda.drop(number)
+        elif operation == "drop":
+            queue.drop(number)
             model.pop(number, None)
-        elif what == "take":
-            gone = sorted((k, n) for n, k in model.items() if k <= key)
-            assert list(agenda.take_up_to(key)) == [f"i{n}" for _, n in gone]
+        elif operation == "take":
+            taken = sorted((k, n) for n, k in model.items() if k <= key)
+            assert list(queue.take_up_to(key)) == [f"i{n}" for _, n in taken]
             model = {n: k for n, k in model.items() if k > key}
         least = min(((k, n) for n, k in model.items()), default=None)
-        assert agenda.first() == (None if least is None else (least[0], f"i{least[1]}"))
-        assert len(agenda) == len(model)
-        assert (number in agenda) == (number in model)
+        assert queue.first() == (None if least is None else (least[0], f"i{least[1]}"))
+        assert len(queue) == len(model)
+        assert (number in queue) == (number in model)
 
 
-def test_an_agenda_does_not_keep_what_never_comes_up() -> None:
-    agenda: IndexedPriorityQueue[None] = IndexedPriorityQueue()
+def test_outdated_entries_that_never_reach_the_top_are_removed() -> None:
+    queue: IndexedPriorityQueue[None] = IndexedPriorityQueue()
     for key in range(100_000, 0, -1):
-        agenda.put(key % 3, key, None)
-    assert len(agenda._heap) <= 2 * MIN_STALE_ENTRIES
+        queue.put(key % 3, key, None)
+    assert len(queue._heap) <= 2 * MIN_STALE_ENTRIES
 
 
-def test_items_that_are_not_wanted_leave_the_agenda() -> None:
-    agenda: IndexedPriorityQueue[int] = IndexedPriorityQueue()
+def test_first_matching_removes_items_that_do_not_match() -> None:
+    queue: IndexedPriorityQueue[int] = IndexedPriorityQueue()
     for number in range(10):
-        agenda.put(number, -number, number)
-    assert agenda.first_matching(lambda item: item < 6) == 5
-    assert len(agenda) == 6
-    assert agenda.first_matching(lambda item: item > 20) is None
-    assert len(agenda) == 0
+        queue.put(number, -number, number)
+    assert queue.first_matching(lambda item: item < 6) == 5
+    assert len(queue) == 6
+    assert queue.first_matching(lambda item: item > 20) is None
+    assert len(queue) == 0
 
 
 @given(st.lists(st.tuples(st.integers(0, 12), st.sampled_from("ab"), st.integers(0, 9))), st.integers(0, 9))
-def test_lines_stay_sorted_and_split_at_a_rank(steps: list[tuple[int, str, int]], rank: int) -> None:
-    lines: GroupedSortedLists[str] = GroupedSortedLists()
+def test_grouped_lists_stay_sorted_and_split_at_a_sort_key(
+    steps: list[tuple[int, str, int]], split_key: int
+) -> None:
+    lists: GroupedSortedLists[str] = GroupedSortedLists()
     model: dict[str, tuple[str, int, int]] = {}
-    for place, (number, line, at) in enumerate(steps):
+    for insertion, (number, group, sort_key) in enumerate(steps):
         name = f"n{number}"
         if name in model:
-            lines.drop(name)
+            lists.drop(name)
             del model[name]
         else:
-            lines.put(name, line, at, place, name)
-            model[name] = (line, at, place)
-    assert list(lines) == sorted(model, key=lambda name: model[name][2])
-    kept = [sorted((a, p, n) for n, (g, a, p) in model.items() if g == line) for line in "ab"]
+            lists.put(name, group, sort_key, insertion, name)
+            model[name] = (group, sort_key, insertion)
+    assert list(lists) == sorted(model, key=lambda name: model[name][2])
+    groups = [sorted((k, i, n) for n, (g, k, i) in model.items() if g == group) for group in "ab"]
     expected = [
-        ([e for e in line if e[0] < rank], [e for e in line if e[0] >= rank]) for line in sorted(kept) if line
+        ([e for e in group if e[0] < split_key], [e for e in group if e[0] >= split_key])
+        for group in sorted(groups)
+        if group
     ]
-    assert list(lines.split(rank)) == expected
+    assert list(lists.split(split_key)) == expected
 
 
-def test_a_line_may_lose_items_while_it_is_walked() -> None:
-    lines: GroupedSortedLists[int] = GroupedSortedLists()
+def test_items_may_be_dropped_during_iteration_over_a_split() -> None:
+    lists: GroupedSortedLists[int] = GroupedSortedLists()
     for number in range(5):
-        lines.put(str(number), "a", number, number, number)
-    walked = []
-    for _, rest in lines.split(0):
+        lists.put(str(number), "a", number, number, number)
+    visited = []
+    for _, rest in lists.split(0):
         for _, _, item in rest:
-            lines.drop(str(item))
-            walked.append(item)
-    assert walked == [0, 1, 2, 3, 4] and len(lines) == 0
+            lists.drop(str(item))
+            visited.append(item)
+    assert visited == [0, 1, 2, 3, 4] and len(lists) == 0
     with pytest.raises(KeyError):
-        lines.drop("0")
+        lists.drop("0")
 
 
 WEIGHTS = st.lists(st.lists(st.lists(st.integers(1, 20), max_size=4), max_size=3), max_size=8)
 
 
 @given(WEIGHTS, st.lists(st.floats(0.0, 3.0), min_size=8, max_size=8))
-def test_the_best_first_are_a_merge_of_all_however_loose_the_bounds(
-    groups: list[list[list[int]]], loose: list[float]
+def test_the_lazy_merge_equals_a_full_merge_whatever_the_bounds(
+    groups: list[list[list[int]]], slack: list[float]
 ) -> None:
     rank: IndexedPriorityQueue[int] = IndexedPriorityQueue()
-    lines: dict[int, list[list[tuple[float, str]]]] = {}
+    runs: dict[int, list[list[tuple[float, str]]]] = {}
     for number, group in enumerate(groups):
-        lines[number] = [
-            [(float(w), f"{number}.{place}.{i}") for i, w in enumerate(sorted(line, reverse=True))]
-            for place, line in enumerate(group)
+        runs[number] = [
+            [(float(w), f"{number}.{place}.{i}") for i, w in enumerate(sorted(weights, reverse=True))]
+            for place, weights in enumerate(group)
         ]
-        heaviest = max((line[0][0] for line in lines[number] if line), default=0.0)
-        rank.put(number, -(math.log(max(heaviest, 1e-300)) + loose[number]), number)
-    flat = [line for number in range(len(groups)) for line in lines[number]]
+        heaviest = max((run[0][0] for run in runs[number] if run), default=0.0)
+        rank.put(number, -(math.log(max(heaviest, 1e-300)) + slack[number]), number)
+    flat = [run for number in range(len(groups)) for run in runs[number]]
     merged = [item for _, item in heapq.merge(*flat, key=lambda pair: -pair[0])]
 
     def weigh(number: int) -> Iterator[Iterator[tuple[float, str]]]:
-        return (iter(line) for line in lines[number])
+        return (iter(run) for run in runs[number])
 
     assert list(HeaviestFirstMerge(rank, weigh, math.log)) == merged
 
 
-def test_groups_that_cannot_have_the_best_are_not_weighed() -> None:
+def test_groups_below_the_best_item_are_not_evaluated() -> None:
     rank: IndexedPriorityQueue[int] = IndexedPriorityQueue()
     for number in range(1000):
         rank.put(number, -math.log(number + 1), number)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Random legal runs, checked against the rules by a small checker of their own."""
+"""Random valid runs of a sender, with an independent check of each action against the delivery rules."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class ActionChecker:
-    """Simulates what surrounds one sender, and checks every action of it."""
+    """Simulates the environment of one sender and checks each of its actions."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -113,9 +113,9 @@
             if key is not None and event.status in (AttemptStatus.TIMEOUT, AttemptStatus.RESET):
                 self.key_rest_us[key] = self.now_us + self.settings.ambiguous_key_rest_us
             if event.retry_after_us:
-                home = self.destinations[event.target]
-                self.retry_after_us[home] = max(
-                    self.retry_after_us.get(home, 0), self.now_us + event.retry_after_us
+                destination = self.destinations[event.target]
+                self.retry_after_us[destination] = max(
+                    self.retry_after_us.get(destination, 0), self.now_us + event.retry_after_us
                 )
             if event.is_completed:
                 self.complete(event.message)
@@ -146,10 +146,10 @@
     def check_attempt(self, action: SendAttempt) -> None:
         name, target = action.message, action.target
         kind, end, destination, key = self.messages[name]
-        assert name not in self.completed_us, "sent after its completion"
+        assert name not in self.completed_us, "sent after completion"
         assert self.destinations[target] == destination and self.ready[target]
         assert not self.in_flight.get(name), "two attempts in flight"
-        assert self.retry_after_us.get(destination, 0) <= self.now_us, "Retry-After is not kept"
+        assert self.retry_after_us.get(destination, 0) <= self.now_us, "sent before the end of Retry-After"
         assert action.timeout_us > 0
         if name in self.ambiguous:
             since, zone = self.ambiguous[name]
@@ -161,7 +161,9 @@
             earlier = self.messages_by_key[key][: self.messages_by_key[key].index(name)]
             assert all(m in self.completed_us and not self.in_flight.get(m) for m in earlier), "out of order"
             if not self.attempts.get(name):
-                assert self.key_rest_us.get(key, 0) <= self.now_us, "the order key rests"
+                assert self.key_rest_us.get(key, 0) <= self.now_us, (
+                    "sent during the cooldown of its order key"
+                )
         number = self.attempts.get(name, 0)
         self.attempts[name] = number + 1
         assert number < self.settings.max_attempts
--- a/tests/test_ten_thousand.py
+++ b/tests/test_ten_thousand.py
@@ -1,6 +1,6 @@
-"""10,000 mixed messages over SMTP and LMTP, faults forced: each has exactly one final answer.
+"""10,000 mixed messages over SMTP and LMTP with injected faults: each gets exactly one final answer.
 
-The clients' side, the partners' side and the forwarder's own counts are held against each other.
+The answers that clients get, the executions at the partners and the forwarder's counters must agree.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 from tests.live import forwarder, in_reactor, reactor
 
 MESSAGE_COUNT = 10_000
-GRACE_US = 1_000_000  # a rule, not a measurement: what a loaded machine may add
-MAX_IN_FLIGHT = 300  # at once
+GRACE_US = 1_000_000  # tolerance for scheduling delays of a loaded machine
+MAX_IN_FLIGHT = 300
 CLASSES = ("note", "post", "pay", "step")
 
 
 class PartnerCounts:
-    """What the partners accepted: how often each message was executed and acknowledged, by its id."""
+    """Number of executions and acknowledgements of each message at all partners, by message id."""
 
     def __init__(self) -> None:
         self.executed: Counter[str] = Counter()
         self.acknowledged: Counter[str] = Counter()
 
     def listen_as_partner(self, seed: int, faults: tuple[str, ...]) -> int:
-        """A partner that has one of these faults now and then; its port."""
+        """Start a partner that fails occasionally in one of the given ways; return its port."""
         rng = random.Random(seed)
         factory = Factory()
         factory.noisy = False
@@ -39,7 +39,7 @@
 
 
 class FaultyPartner(Protocol):
-    """One connection to such a partner."""
+    """A connection to a partner with injected faults."""
 
     transport: Any = None
 
@@ -96,7 +96,7 @@
 
 
 def test_ten_thousand_mixed_messages_each_have_exactly_one_final_answer() -> None:
-    ledger = PartnerCounts()
+    partner_counts = PartnerCounts()
     faults = [
         ("full", "broken"),
         ("lost at RCPT", "full"),
@@ -107,7 +107,7 @@
     ]
     with forwarder("slots = 40, max_open = 2000, rules = rules(cold = '1s', fall = '500ms')") as live:
         for number, each in enumerate(faults):
-            live.list_partner(f"p{number}.example", ledger.listen_as_partner(number, each))
+            live.list_partner(f"p{number}.example", partner_counts.listen_as_partner(number, each))
         limits = ClientLimits(max_connections=200, timeout_s=30.0)
         clients = [
             Client(reactor, "127.0.0.1", live.ports[name], name == "lmtp", f"{name}.example", limits)
@@ -132,12 +132,12 @@
             answer = clients[number % 2].submit("a@c.example", recipient, content)
             answer.addCallback(answers[number].append).addCallback(lambda _: submit())
 
-        def begin() -> Deferred[None]:
+        def submit_first_messages() -> Deferred[None]:
             for _ in range(MAX_IN_FLIGHT):
                 submit()
             return done
 
-        in_reactor(begin)
+        in_reactor(submit_first_messages)
         for client in clients:
             in_reactor(client.close)
         counts = live.service.forwarder.counters
@@ -147,25 +147,29 @@
     assert sum(kind.values()) == MESSAGE_COUNT and kind["Delivered"] > 0.6 * MESSAGE_COUNT, kind
     for number, (answer,) in answers.items():
         name = f"<{number}@c.example>"
-        ran, told = ledger.executed[name], ledger.acknowledged[name]
+        executed, acknowledged = partner_counts.executed[name], partner_counts.acknowledged[name]
         if isinstance(answer, Delivered):
-            assert told == 1, (number, kinds[number], ran, told)
+            assert acknowledged == 1, (number, kinds[number], executed, acknowledged)
         else:
-            # an acknowledgement that came after its call's time was up is heard by nobody
-            assert not told or isinstance(answer, Failed) or kinds[number] != "pay", (number, answer)
+            # An acknowledgement that arrives after the timeout of its call is lost.
+            assert not acknowledged or isinstance(answer, Failed) or kinds[number] != "pay", (number, answer)
         if kinds[number] == "pay":
-            assert ran <= 1 and not (ran and isinstance(answer, Refused)), (number, answer, ran)
+            assert executed <= 1 and not (executed and isinstance(answer, Refused)), (
+                number,
+                answer,
+                executed,
+            )
         if isinstance(answer, Failed):
             assert not answer.is_result_lost
-    # the forwarder's own figures say the same as its clients
+    # The forwarder's counters agree with the answers of the clients.
     assert counts.delivered == kind["Delivered"] and counts.failed == kind["Failed"]
     assert counts.refused + counts.rejected == kind["Refused"] and counts.withdrawn == 0
     assert intake.message_share.used == 0 and not intake.admitted
-    left = {
+    time_left_us = {
         fields["message"]: fields["time_left_us"]
         for event, fields in live.log.lines
         if event == "message_accepted"
     }
     for event, fields in live.log.lines:
         if event in ("message_delivered", "message_refused", "message_failed"):
-            assert fields["elapsed_us"] < left[fields["message"]] + GRACE_US, fields
+            assert fields["elapsed_us"] < time_left_us[fields["message"]] + GRACE_US, fields
