--- a/honeybarrow/policy/admission.py
+++ b/honeybarrow/policy/admission.py
@@ -51,37 +51,37 @@
         (each.index, each) for each in state.scheduled_checks.take_up_to(state.now)
     )
     while state.changed_destinations:
-        touched, state.changed_destinations = state.changed_destinations, {}
-        for _, destination in sorted(touched.items(), key=lambda item: item[0]):
+        changed, state.changed_destinations = state.changed_destinations, {}
+        for _, destination in sorted(changed.items(), key=lambda item: item[0]):
             _refresh_destination(state, destination)
 
 
 def _refresh_destination(state: SenderState, destination: Destination) -> None:
     """Queue a destination as ready or blocked, and schedule its next check."""
-    check = wake = NEVER
+    check_us = opens_us = NEVER
     for endpoint in destination.endpoints if destination.waiting else ():
         if not endpoint.is_usable:
             continue
-        late, calls = NEVER, endpoint.calls
+        late_us, calls = NEVER, endpoint.calls
         if calls and endpoint.answered_call_sent_us < calls[0].sent_us:
-            late = calls[0].sent_us + health.response_timeout_us(endpoint)
+            late_us = calls[0].sent_us + health.response_timeout_us(endpoint)
         if endpoint.health is EndpointHealth.HEALTHY and health.health_opens_us(state, endpoint) <= state.now:
-            check = min(check, late + 1)  # the endpoint counts as silent from then on
-        at = health.scope_opens_us(endpoint.scope)
+            check_us = min(check_us, late_us + 1)  # the endpoint counts as silent from then on
+        endpoint_opens_us = health.scope_opens_us(endpoint.scope)
         if endpoint.health is not EndpointHealth.HEALTHY:
-            at = max(at, endpoint.next_call_us)
+            endpoint_opens_us = max(endpoint_opens_us, endpoint.next_call_us)
         if endpoint.health is EndpointHealth.EJECTED and calls:
             checks = [call.sent_us for call in calls if call.sent_us > endpoint.health_since_us]
-            if checks and (lost := max(checks) + health.response_timeout_us(endpoint)) > state.now:
-                check = min(check, lost)  # the health check in flight times out
+            if checks and (lost_us := max(checks) + health.response_timeout_us(endpoint)) > state.now:
+                check_us = min(check_us, lost_us)  # the health check in flight times out
                 continue
-        wake = min(wake, at)
-        check = min(check, at) if at > state.now else check
+        opens_us = min(opens_us, endpoint_opens_us)
+        check_us = min(check_us, endpoint_opens_us) if endpoint_opens_us > state.now else check_us
     destination.pressure_bound = math.inf
     state.saturated_destinations.drop(destination.index)
-    state.ready_destinations.put_if(destination.index, -math.inf, destination, wake <= state.now)
-    state.blocked_destinations.put_if(destination.index, wake, destination, state.now < wake < NEVER)
-    state.scheduled_checks.put_if(destination.index, check, destination, check < NEVER)
+    state.ready_destinations.put_if(destination.index, -math.inf, destination, opens_us <= state.now)
+    state.blocked_destinations.put_if(destination.index, opens_us, destination, state.now < opens_us < NEVER)
+    state.scheduled_checks.put_if(destination.index, check_us, destination, check_us < NEVER)
 
 
 def admit(state: SenderState) -> None:
@@ -109,25 +109,29 @@
             _start_call(state, message, endpoint)
         elif message.in_flight == 0:
             unplaced[destination.index] = unplaced.get(destination.index, 0) + 1
-    for index, (destination, most) in candidates.weighed.items():
-        destination.pressure_bound = _pressure_bound(state, most)
+    for index, (destination, max_weight) in candidates.weighed.items():
+        destination.pressure_bound = _pressure_bound(state, max_weight)
         if index not in state.changed_destinations and index not in state.saturated_destinations:
-            _reschedule(state, destination, most, unplaced.get(index, 0))
+            _reschedule(state, destination, max_weight, unplaced.get(index, 0))
 
 
-def _reschedule(state: SenderState, destination: Destination, most: float, unplaced: int) -> None:
+def _reschedule(state: SenderState, destination: Destination, max_weight: float, unplaced: int) -> None:
     """Keep an evaluated destination ready, or schedule a check if none of its messages can be sent now.
 
-    ``most`` is the highest weight of its messages, ``unplaced`` the number of them without an open endpoint.
+    ``max_weight`` is the highest weight of its messages, ``unplaced`` the number without an open endpoint.
     """
-    if (unplaced or most <= 0.0) and unplaced == sum(
+    if (unplaced or max_weight <= 0.0) and unplaced == sum(
         _is_eligible(state, each) for each in destination.waiting
     ):
         # A message without an open endpoint gets one later if it is non-idempotent and half of its time has
         # passed; see choose_endpoint.
         waiting = list(destination.waiting)
-        unsafe = [each for each in waiting if each.message_class.idempotency is Idempotency.NON_IDEMPOTENT]
-        times: list[float] = [each.expires_us - each.message_class.deadline_us // 2 for each in unsafe]
+        non_idempotent = [
+            each for each in waiting if each.message_class.idempotency is Idempotency.NON_IDEMPOTENT
+        ]
+        times: list[float] = [
+            each.expires_us - each.message_class.deadline_us // 2 for each in non_idempotent
+        ]
         times += [each.retry_at_us for each in waiting]
         times.append(state.scheduled_checks.key(destination.index, NEVER))
         state.scheduled_checks.put(destination.index, min(at for at in times if at > state.now), destination)
@@ -135,12 +139,13 @@
         state.ready_destinations.put(destination.index, -destination.pressure_bound, destination)
 
 
-def _pressure_bound(state: SenderState, most: float) -> float:
-    """Return a bound on the logarithm of a pressure that is now at most ``most``, comparable across times.
+def _pressure_bound(state: SenderState, max_pressure: float) -> float:
+    """Return a bound on the logarithm of a pressure that is now at most ``max_pressure``.
 
-    Pressures grow at most exponentially with the shorter horizon, so the bound holds at any later time.
+    Pressures grow at most exponentially with the shorter horizon. The bound subtracts that growth, so that it
+    holds at any later time and bounds of different times can be compared.
     """
-    return math.log(max(most, 1e-300)) - state.now / min(OBJECTIVE_HORIZON_US, DEADLINE_HORIZON_US)
+    return math.log(max(max_pressure, 1e-300)) - state.now / min(OBJECTIVE_HORIZON_US, DEADLINE_HORIZON_US)
 
 
 def _eligible_runs(state: SenderState, destination: Destination) -> Iterator[Iterator[tuple[float, Message]]]:
@@ -154,10 +159,10 @@
     # Within a group the pressure grows towards the deadline. Messages that can no longer succeed all have the
     # same minimum pressure, so they form runs by weight.
     too_late: dict[float, list[tuple[int, Message]]] = {}
-    needed = state.now + health.expected_duration_us(destination, NEEDED_LATENCIES)
-    for late, run in destination.waiting.split(needed):
-        for _, place, message in late:
-            too_late.setdefault(message.weight, []).append((place, message))
+    needed_until_us = state.now + health.expected_duration_us(destination, NEEDED_LATENCIES)
+    for late, run in destination.waiting.split(needed_until_us):
+        for _, insertion, message in late:
+            too_late.setdefault(message.weight, []).append((insertion, message))
         yield _with_weights(state, slot_us, (message for _, _, message in run))
     for expired in too_late.values():
         yield _with_weights(state, slot_us, (message for _, message in sorted(expired)))
@@ -175,7 +180,7 @@
 
 
 def _is_eligible(state: SenderState, message: Message) -> bool:
-    """Return whether the message is due, first of its order key, and may be recorded.
+    """Return whether the message is due, first of its order key, and may start according to the log.
 
     Where batches are allowed, the order is checked for each message of a batch by :func:`can_send`.
     """
@@ -188,8 +193,8 @@
 def _can_record_start(state: SenderState, message: Message) -> bool:
     """Return whether the log permits an attempt to start.
 
-    The start of an attempt that is not recorded could be repeated after a crash, which only idempotent
-    messages allow.
+    An attempt whose start is not recorded could be repeated after a crash, which only idempotent messages
+    allow.
     """
     return state.is_log_available or message.message_class.idempotency is Idempotency.IDEMPOTENT
 
@@ -205,13 +210,13 @@
     * A health check cut short by its message's deadline tells nothing, so the message needs the response
       timeout, or a third of its deadline where all deadlines are shorter than the timeout.
     """
-    left, spec = message.expires_us - state.now, message.message_class
-    is_unsafe = spec.idempotency is Idempotency.NON_IDEMPOTENT and left > spec.deadline_us // 2
+    left_us, spec = message.expires_us - state.now, message.message_class
+    is_too_early = spec.idempotency is Idempotency.NON_IDEMPOTENT and left_us > spec.deadline_us // 2
     endpoints = message.destination.endpoints
     open_now = [e for e in endpoints if e.is_usable and health.opens_us(state, e) <= state.now]
     for endpoint in [e for e in open_now if e.health is EndpointHealth.EJECTED]:
-        is_short = left < min(health.response_timeout_us(endpoint), spec.deadline_us // 3)
-        if is_short or (is_unsafe and endpoint.last_connect_failure_us < endpoint.health_since_us):
+        is_short = left_us < min(health.response_timeout_us(endpoint), spec.deadline_us // 3)
+        if is_short or (is_too_early and endpoint.last_connect_failure_us < endpoint.health_since_us):
             open_now.remove(endpoint)
     ejected = EndpointHealth.EJECTED
     return min(open_now, key=lambda e: (e.health is ejected, len(e.calls), -e.last_sent_us), default=None)
--- a/honeybarrow/policy/endpoint_health.py
+++ b/honeybarrow/policy/endpoint_health.py
@@ -141,22 +141,22 @@
     settings, warm_up = state.settings, state.settings.warm_up_us / SECOND
     start = settings.start_capacity
     slope = max(0.0, 1.0 - start) / max(warm_up, 1e-6)
-    limit, are_many = known_limit(state, scope), settings.senders > MAX_SMALL_FLEET_SENDERS
+    limit, is_large_fleet = known_limit(state, scope), settings.senders > MAX_SMALL_FLEET_SENDERS
     opens = max(state.now, scope.backoff_until_us)
     rest = max(
         FAILURE_BACKOFF_MULTIPLE * (opens - min(scope.failing_since_us, opens)),
         SLOW_CONNECT_BACKOFF_MULTIPLE * silent_us,
     )
     # Counted from the next call that the rate limiter permits, which is alike for senders rejected together.
-    paced = max(opens, scope.limiter.next_send_us() if are_many else 0)
-    rest, opens = max(rest, paced - opens), paced
-    rest *= are_many / SECOND
+    permitted_us = max(opens, scope.limiter.next_send_us() if is_large_fleet else 0)
+    rest, opens = max(rest, permitted_us - opens), permitted_us
+    rest *= is_large_fleet / SECOND
     rest = min(rest, FAILURE_BACKOFF_MULTIPLE * (settings.senders - 1) / limit) if limit > 0 else rest
     # Area under the capacity ramp of the whole warm-up, and the part of it over which to spread.
-    most = start * warm_up + slope * warm_up * warm_up / 2
+    area = start * warm_up + slope * warm_up * warm_up / 2
     is_announced = scope.announced_reopen_us < NEVER
-    due = most if is_announced else min(most, rest / (RECOVERY_MARGIN * settings.collapse_multiple))
-    root = math.sqrt(start * start + 2 * slope * due * state.rng.random())
+    spread = area if is_announced else min(area, rest / (RECOVERY_MARGIN * settings.collapse_multiple))
+    root = math.sqrt(start * start + 2 * slope * spread * state.rng.random())
     return opens + int((root - start) / max(slope, 1e-6) * SECOND)
 
 
@@ -164,17 +164,17 @@
     """Return the interval of calls to an unhealthy endpoint: this sender's share of the call budget."""
     settings, scope = state.settings, endpoint.scope
     is_slow_start = endpoint.health is EndpointHealth.SLOW_START
-    mine = known_limit(state, scope) / settings.senders / max(1, sum(e.is_usable for e in scope.endpoints))
-    back = state.now - endpoint.health_since_us if is_slow_start else settings.collapse_window_us / 2
+    share = known_limit(state, scope) / settings.senders / max(1, sum(e.is_usable for e in scope.endpoints))
+    warm_us = state.now - endpoint.health_since_us if is_slow_start else settings.collapse_window_us / 2
     start = settings.start_capacity
-    capacity = min(1.0, start + (1.0 - start) * back / max(1, settings.warm_up_us))
-    rate = RECOVERY_MARGIN * settings.collapse_multiple * capacity * mine
+    capacity = min(1.0, start + (1.0 - start) * warm_us / max(1, settings.warm_up_us))
+    rate = RECOVERY_MARGIN * settings.collapse_multiple * capacity * share
     # Capped by the age of the outage, since the share of one of many senders may be less than one call in the
     # lifetime of a message.
-    aged = max(MAX_BACKOFF_US, OUTAGE_AGE_MULTIPLE * (state.now - endpoint.outage_since_us))
-    high = min(aged, HEALTH_CHECK_INTERVAL_US[1] * max(2, settings.senders))
-    low = 0 if is_slow_start else HEALTH_CHECK_INTERVAL_US[0]
-    return int(min(max(SECOND / max(rate, 1e-6), low), high) * state.rng.uniform(0.8, 1.2))
+    max_by_age_us = max(MAX_BACKOFF_US, OUTAGE_AGE_MULTIPLE * (state.now - endpoint.outage_since_us))
+    high_us = min(max_by_age_us, HEALTH_CHECK_INTERVAL_US[1] * max(2, settings.senders))
+    low_us = 0 if is_slow_start else HEALTH_CHECK_INTERVAL_US[0]
+    return int(min(max(SECOND / max(rate, 1e-6), low_us), high_us) * state.rng.uniform(0.8, 1.2))
 
 
 def close_idle_connections(state: SenderState, endpoint: EndpointRecord) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -52,7 +52,7 @@
         self.destinations = {"a:1": 1, "b:1": 1, "c:1": 2}
         self.zones = {"a:1": "x", "b:1": "y", "c:1": "x"}
         self.messages_by_key: dict[int, list[str]] = {}
-        self.key_rest_us: dict[int, int] = {}
+        self.key_cooldown_us: dict[int, int] = {}
         self.trace: list[Any] = []
 
     def schedule(self, delay: int, event: Event) -> None:
@@ -111,7 +111,7 @@
                 self.ambiguous[event.message] = (sent, self.zones[event.target])
             key = self.messages[event.message][3]
             if key is not None and event.status in (AttemptStatus.TIMEOUT, AttemptStatus.RESET):
-                self.key_rest_us[key] = self.now_us + self.settings.ambiguous_key_rest_us
+                self.key_cooldown_us[key] = self.now_us + self.settings.ambiguous_key_rest_us
             if event.retry_after_us:
                 destination = self.destinations[event.target]
                 self.retry_after_us[destination] = max(
@@ -161,7 +161,7 @@
             earlier = self.messages_by_key[key][: self.messages_by_key[key].index(name)]
             assert all(m in self.completed_us and not self.in_flight.get(m) for m in earlier), "out of order"
             if not self.attempts.get(name):
-                assert self.key_rest_us.get(key, 0) <= self.now_us, (
+                assert self.key_cooldown_us.get(key, 0) <= self.now_us, (
                     "sent during the cooldown of its order key"
                 )
         number = self.attempts.get(name, 0)
