--- a/honeybarrow/policy/admission.py
+++ b/honeybarrow/policy/admission.py
@@ -247,10 +247,7 @@
         or not _can_record_start(state, message)  # no durable record of the start
         or not endpoint.is_usable  # draining or removed
         or endpoint.scope.backoff_until_us > now  # Retry-After
-        or now
-        > latest_start_us(
-            message, DEADLINE_MARGIN_US
-        )  # past the hard cap, the key window or the only attempt
+        or now > latest_start_us(message, DEADLINE_MARGIN_US)  # past the hard cap
         or (is_bound and endpoint.zone != message.ambiguous_zone)  # the key is unknown in other zones
         or (key is not None and (is_cooling_down or state.order_queues[key][0] is not message))
         or (call.open_attempts == 0 and state.slots_used >= state.settings.slots)
