--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Random legal runs, checked against the rules by a small checker of their own."""
+"""Random valid runs of a sender, with an independent check of each action against the delivery rules."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class ActionChecker:
-    """Simulates what surrounds one sender, and checks every action of it."""
+    """Simulates the environment of one sender and checks each of its actions."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -52,7 +52,7 @@
         self.destinations = {"a:1": 1, "b:1": 1, "c:1": 2}
         self.zones = {"a:1": "x", "b:1": "y", "c:1": "x"}
         self.messages_by_key: dict[int, list[str]] = {}
-        self.key_rest_us: dict[int, int] = {}
+        self.key_cooldown_us: dict[int, int] = {}
         self.trace: list[Any] = []
 
     def schedule(self, delay: int, event: Event) -> None:
@@ -111,11 +111,11 @@
                 self.ambiguous[event.message] = (sent, self.zones[event.target])
             key = self.messages[event.message][3]
             if key is not None and event.status in (AttemptStatus.TIMEOUT, AttemptStatus.RESET):
-                self.key_rest_us[key] = self.now_us + self.settings.ambiguous_key_rest_us
+                self.key_cooldown_us[key] = self.now_us + self.settings.ambiguous_key_rest_us
             if event.retry_after_us:
-                home = self.destinations[event.target]
-                self.retry_after_us[home] = max(
-                    self.retry_after_us.get(home, 0), self.now_us + event.retry_after_us
+                destination = self.destinations[event.target]
+                self.retry_after_us[destination] = max(
+                    self.retry_after_us.get(destination, 0), self.now_us + event.retry_after_us
                 )
             if event.is_completed:
                 self.complete(event.message)
@@ -146,10 +146,10 @@
     def check_attempt(self, action: SendAttempt) -> None:
         name, target = action.message, action.target
         kind, end, destination, key = self.messages[name]
-        assert name not in self.completed_us, "sent after its completion"
+        assert name not in self.completed_us, "sent after completion"
         assert self.destinations[target] == destination and self.ready[target]
         assert not self.in_flight.get(name), "two attempts in flight"
-        assert self.retry_after_us.get(destination, 0) <= self.now_us, "Retry-After is not kept"
+        assert self.retry_after_us.get(destination, 0) <= self.now_us, "sent before the end of Retry-After"
         assert action.timeout_us > 0
         if name in self.ambiguous:
             since, zone = self.ambiguous[name]
@@ -161,7 +161,9 @@
             earlier = self.messages_by_key[key][: self.messages_by_key[key].index(name)]
             assert all(m in self.completed_us and not self.in_flight.get(m) for m in earlier), "out of order"
             if not self.attempts.get(name):
-                assert self.key_rest_us.get(key, 0) <= self.now_us, "the order key rests"
+                assert self.key_cooldown_us.get(key, 0) <= self.now_us, (
+                    "sent during the cooldown of its order key"
+                )
         number = self.attempts.get(name, 0)
         self.attempts[name] = number + 1
         assert number < self.settings.max_attempts
@@ -220,8 +222,8 @@
         len(sender.state.endpoints)
         + len(sender.state.messages)
         + len(sender.state.order_queues)
-        + len(sender.state.due)
+        + len(sender.state.message_timers)
         == 0
     )
     assert len(sender.state.destinations) <= 1
-    assert len(sender.state.key_rests) <= 2
+    assert len(sender.state.key_cooldowns) <= 2
