--- a/benchmarks/soak_mutants.py
+++ b/benchmarks/soak_mutants.py
@@ -65,8 +65,8 @@
 GUARD = "message_guard.py"
 NO_REPEAT_GUARD = (
     GUARD,
-    "        spec = account.message_class\n        if account.ambiguous",
-    "        return None\n        spec = account.message_class\n        if account.ambiguous",
+    "        spec = tracked.message_class\n        if tracked.ambiguous",
+    "        return None\n        spec = tracked.message_class\n        if tracked.ambiguous",
 )
 NO_ENDPOINT_GUARD = (
     GUARD,
@@ -105,7 +105,7 @@
         (*FOLDERS, *ENDPOINTS),
         (
             GUARD,
-            "        if not account.is_result_recorded and now_us < account.expires_us:",
+            "        if not tracked.is_result_recorded and now_us < tracked.expires_us:",
             "        if False:",
         ),
         forwarders=3,
@@ -150,7 +150,7 @@
     "key window from the last attempt": _mutant(
         ENDPOINTS,
         ("policy/lifecycle.py", "if call.sent_us < message.ambiguous_since_us:", "if True:"),
-        (GUARD, "        if not not_run and account.ambiguous_since_us is None:", "        if not not_run:"),
+        (GUARD, "        if not not_run and tracked.ambiguous_since_us is None:", "        if not not_run:"),
     ),
     "202 before its record": _mutant(
         FOLDERS,
--- a/honeybarrow/message_guard.py
+++ b/honeybarrow/message_guard.py
@@ -1,14 +1,15 @@
-"""The guard: the rules on a message's life, asked before anything that could break one of them happens.
-
-Four questions: may a message be forwarded now (:meth:`MessageGuard.may_forward`), may it be repeated
-(:meth:`MessageGuard.may_repeat`), may it end or be answered so (``may_acknowledge``, ``may_end``,
-``may_notify``, ``may_close_connection``), and may this process start with it or go on
-(:func:`may_start_attempt`, :func:`may_resume`). The answer is ``None`` for yes, or a :class:`Refusal`.
-
-The guard keeps its own account of each message, fed by what happened, not by what the policy believes. Some
-refusals are expected: what was decided may have become wrong while a connection came up. The others should
-have been prevented before; they are violations, refused all the same, counted by rule and logged. No I/O and
-no clock: times are microseconds of the caller's monotonic clock.
+"""Run-time checks of the delivery guarantees of messages.
+
+:class:`MessageGuard` is asked before each step that could break a guarantee: before a message is forwarded
+(:meth:`MessageGuard.may_forward`) or retried (:meth:`MessageGuard.may_repeat`), before it is acknowledged or
+completed (``may_acknowledge``, ``may_end``), before its final result is reported (``may_notify``), and before
+a client connection is closed (``may_close_connection``). :func:`may_start_attempt` and :func:`may_resume`
+cover shutdown and restart. Each check returns ``None`` if the step is allowed, else a :class:`Refusal`.
+
+The guard tracks every message by itself, from the events that are reported to it, independently of the
+policy. Some refusals are expected, because a decision can become outdated while a connection is established.
+All others are violations: the step is refused, counted by rule and reported. The module does no I/O and reads
+no clock; times are microseconds on the caller's monotonic clock.
 """
 
 from __future__ import annotations
@@ -23,13 +24,13 @@
 from honeybarrow.message_state import MessageState
 from honeybarrow.settings import Idempotency, MessageClass, Settings
 
-STALL_MARGIN_DIVISOR = 8  # of a deadline or key window: the margin is never a larger part of it
-MAX_SHUTDOWN_US = 3_500_000  # from SIGTERM to the end of the process; SIGKILL comes a little later
-SHUTDOWN_QUIET_US = 1_500_000  # at the end of it no attempt starts whose loss would fail its message
+STALL_MARGIN_DIVISOR = 8  # the margin is at most 1/8 of a deadline or key window
+MAX_SHUTDOWN_US = 3_500_000  # from SIGTERM to the exit of the process
+SHUTDOWN_QUIET_US = 1_500_000  # final part of the shutdown, in which only idempotent attempts start
 
 
 class Rule(enum.Enum):
-    """The rules that a refusal protects."""
+    """Delivery guarantees that a refusal protects."""
 
     LOST = "lost"
     DUPLICATE = "duplicate"
@@ -39,7 +40,7 @@
 
 
 class Refusal(enum.Enum):
-    """Why the answer is no."""
+    """Reasons why a step is not allowed."""
 
     UNKNOWN = "the message is not open"
     NOT_RECORDED = "its acceptance is not recorded"
@@ -64,8 +65,8 @@
     CLOCK_UNCERTAIN = "how long ago an attempt was is not known"
 
 
-_LONG_AGO_US = -(1 << 62)  # an attempt that started at an unknown time
-_NO_CLASS = MessageClass("", 0, 0)  # of a message whose class the settings no longer have
+_UNKNOWN_START_US = -(1 << 62)  # start time of an attempt that was never reported as started
+_UNKNOWN_CLASS = MessageClass("", 0, 0)  # placeholder for a class that may no longer be in the settings
 RULE_OF_REFUSAL = {
     Refusal.UNKNOWN: Rule.LOST,
     Refusal.NOT_RECORDED: Rule.LOST,
@@ -89,7 +90,7 @@
     Refusal.REQUEST_OPEN: Rule.LOST,
     Refusal.CLOCK_UNCERTAIN: Rule.DUPLICATE,
 }
-# While a connection comes up any of these may become true, whatever was decided before.
+# Conditions that can change between the decision to forward and an established connection.
 _EXPECTED_AT_FORWARD = frozenset(
     (
         Refusal.ENDED, Refusal.EXPIRED, Refusal.KEY_WINDOW_OVER, Refusal.DRAINING, Refusal.WAITING,
@@ -99,16 +100,16 @@
 
 
 class Result(enum.Enum):
-    """The final results of a message, as the guard tells them apart."""
+    """Kinds of final result."""
 
     DELIVERED = "delivered"
-    RETURNED = "returned"  # to the client: to submit it again does no harm
+    RETURNED = "returned"  # the client may safely submit the message again
     FAILED = "failed"
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A refusal that should have been prevented before it came to the guard."""
+    """A refusal that the caller should have prevented."""
 
     rule: Rule
     refusal: Refusal
@@ -118,12 +119,12 @@
 
 
 class GuardViolationError(AssertionError):
-    """A violation where the guard is strict, as in tests."""
+    """Raised for a violation if the guard is strict."""
 
 
 @dataclass(slots=True)
-class _Account:
-    """What the guard knows of one message."""
+class _TrackedMessage:
+    """State of one message as observed by the guard."""
 
     message_class: MessageClass
     expires_us: int
@@ -131,36 +132,36 @@
     state: MessageState = MessageState.ACCEPTED
     is_recorded: bool = False
     is_acknowledged: bool = False
-    attempt_started_us: int = 0  # of the attempt in flight
+    attempt_started_us: int = 0  # start of the attempt in flight
     attempt_zone: str = ""
-    ambiguous_since_us: int | None = None  # start of the first attempt that may have run
+    ambiguous_since_us: int | None = None  # start of the first ambiguous attempt
     ambiguous_zone: str = ""
     is_delivered: bool = False
     is_result_recorded: bool = False
     awaits_notification: bool = False
-    is_settled: bool = False  # it has its result and no attempt in flight
+    is_settled: bool = False  # has a final result and no attempt in flight
 
 
 @dataclass(slots=True)
-class _EndpointAccount:
-    """What the guard knows of one endpoint."""
+class _TrackedEndpoint:
+    """State of one endpoint as observed by the guard."""
 
     destination: int
     zone: str
     is_usable: bool
-    scope: str | int  # what a Retry-After of it holds for: its destination or, by its kind, itself
+    scope: str | int  # what its Retry-After applies to: the destination or, for some kinds, the endpoint
 
 
 class MessageGuard:
-    """The accounts of all open messages and of the endpoints, and the answers that follow from them.
+    """Tracks open messages and endpoints, and decides which steps are allowed.
 
-    ``on_violation`` gets each violation; a strict guard, as tests have it, raises it too. Bounded by the open
-    messages, the notifications that are not acknowledged, and the endpoints listed. ``max_stall_us``: for so
-    long the process may be held up between a decision and the write that rests on it.
+    ``on_violation`` is called with each violation; a strict guard also raises :exc:`GuardViolationError`.
+    ``max_stall_us`` is the longest delay to expect between a decision and the write that follows it.
+    Memory is bounded by the open messages, the unacknowledged notifications and the listed endpoints.
     """
 
-    is_strict: ClassVar[bool] = False  # of all guards of the process
-    strict_violations: ClassVar[list[Violation]] = []  # of strict guards, whoever catches what they raise
+    is_strict: ClassVar[bool] = False  # applies to all guards of the process
+    strict_violations: ClassVar[list[Violation]] = []  # violations raised by strict guards, also if caught
 
     def __init__(
         self, settings: Settings, on_violation: Callable[[Violation], object], max_stall_us: int = 0
@@ -169,14 +170,14 @@
         self.violation_counts: dict[Rule, int] = {}
         self._classes = {each.name: each for each in settings.classes}
         self._separate_kinds = frozenset(kind.name for kind in settings.kinds if kind.has_separate_routes)
-        self._ambiguous_key_rest_us = settings.ambiguous_key_rest_us
-        self._accounts: dict[str, _Account] = {}
-        self._endpoints: dict[str, _EndpointAccount] = {}
+        self._order_key_pause_us = settings.ambiguous_key_rest_us
+        self._messages: dict[str, _TrackedMessage] = {}
+        self._endpoints: dict[str, _TrackedEndpoint] = {}
         self._backoff_until_us: dict[str | int, int] = {}  # by scope
-        self._order_queues: dict[int, OrderedDict[str, None]] = {}  # by order key, as they were accepted
-        self._key_rests_until_us: dict[int, int] = {}
+        self._order_queues: dict[int, OrderedDict[str, None]] = {}  # by order key, in order of acceptance
+        self._order_key_paused_until_us: dict[int, int] = {}
 
-    # what happened
+    # Events
 
     def on_accepted(
         self,
@@ -188,61 +189,64 @@
         attempts: int = 0,
         ambiguous_since_us: int | None = None,
     ) -> None:
-        """Open the account of a message; ``is_resumed``: an earlier process has accepted it."""
+        """Start tracking a message; ``is_resumed`` if an earlier process has accepted it."""
         message_class = self._classes[class_name]
-        account = _Account(message_class, expires_us, order_key if message_class.is_ordered else None)
-        account.is_recorded = account.is_acknowledged = is_resumed
-        account.ambiguous_since_us = ambiguous_since_us
+        tracked = _TrackedMessage(message_class, expires_us, order_key if message_class.is_ordered else None)
+        tracked.is_recorded = tracked.is_acknowledged = is_resumed
+        tracked.ambiguous_since_us = ambiguous_since_us
         if ambiguous_since_us is not None:
-            account.state = MessageState.AMBIGUOUS
+            tracked.state = MessageState.AMBIGUOUS
         elif attempts:
-            account.state = MessageState.WAITING
-        self._open(message, account)
+            tracked.state = MessageState.WAITING
+        self._track(message, tracked)
 
     def on_result_recovered(self, message: str, expires_us: int, order_key: int | None) -> None:
-        """Open the account of a message that a starting process ends without going on with it."""
-        account = _Account(_NO_CLASS, expires_us, order_key, MessageState.ENDING)
-        account.is_recorded = account.is_acknowledged = True
-        account.is_settled = account.awaits_notification = True
-        self._open(message, account)
+        """Track a message that a starting process completes without resuming it."""
+        tracked = _TrackedMessage(_UNKNOWN_CLASS, expires_us, order_key, MessageState.ENDING)
+        tracked.is_recorded = tracked.is_acknowledged = True
+        tracked.is_settled = tracked.awaits_notification = True
+        self._track(message, tracked)
 
-    def _open(self, message: str, account: _Account) -> None:
-        self._accounts[message] = account
-        if account.order_key is not None:
-            self._order_queues.setdefault(account.order_key, OrderedDict())[message] = None
+    def _track(self, message: str, tracked: _TrackedMessage) -> None:
+        self._messages[message] = tracked
+        if tracked.order_key is not None:
+            self._order_queues.setdefault(tracked.order_key, OrderedDict())[message] = None
 
     def on_recorded(self, message: str) -> None:
-        """Note that the acceptance is on disk."""
-        if (account := self._accounts.get(message)) is not None:
-            account.is_recorded = True
+        """Record that the acceptance is on disk."""
+        if (tracked := self._messages.get(message)) is not None:
+            tracked.is_recorded = True
 
     def on_attempt_finished(
-        self, message: str, now_us: int, not_run: bool, is_done: bool, rests_key: bool
+        self, message: str, now_us: int, not_run: bool, is_done: bool, pauses_order_key: bool
     ) -> None:
-        """Note the end of an attempt. ``rests_key``: by a timeout, reset or cancel."""
-        account = self._accounts.get(message)
-        if account is None:
+        """Record the end of an attempt.
+
+        ``pauses_order_key`` is true after a timeout, a reset or a cancellation.
+        """
+        tracked = self._messages.get(message)
+        if tracked is None:
             return
-        account.is_delivered |= is_done
-        if account.state is not MessageState.IN_FLIGHT:
-            if not (not_run or is_done or account.state is MessageState.ENDING):
-                account.ambiguous_since_us, account.state = _LONG_AGO_US, MessageState.AMBIGUOUS
+        tracked.is_delivered |= is_done
+        if tracked.state is not MessageState.IN_FLIGHT:
+            if not (not_run or is_done or tracked.state is MessageState.ENDING):
+                tracked.ambiguous_since_us, tracked.state = _UNKNOWN_START_US, MessageState.AMBIGUOUS
                 self._report(Refusal.NEVER_STARTED, "finish", message)
             return
-        if not not_run and account.ambiguous_since_us is None:
-            account.ambiguous_since_us, account.ambiguous_zone = (
-                account.attempt_started_us,
-                account.attempt_zone,
+        if not not_run and tracked.ambiguous_since_us is None:
+            tracked.ambiguous_since_us, tracked.ambiguous_zone = (
+                tracked.attempt_started_us,
+                tracked.attempt_zone,
             )
-        is_ambiguous = account.ambiguous_since_us is not None
-        account.state = MessageState.AMBIGUOUS if is_ambiguous else MessageState.WAITING
-        if rests_key and not not_run and account.order_key is not None:
-            rests = {key: until for key, until in self._key_rests_until_us.items() if until > now_us}
-            rests[account.order_key] = now_us + self._ambiguous_key_rest_us
-            self._key_rests_until_us = rests
+        is_ambiguous = tracked.ambiguous_since_us is not None
+        tracked.state = MessageState.AMBIGUOUS if is_ambiguous else MessageState.WAITING
+        if pauses_order_key and not not_run and tracked.order_key is not None:
+            pauses = {key: until for key, until in self._order_key_paused_until_us.items() if until > now_us}
+            pauses[tracked.order_key] = now_us + self._order_key_pause_us
+            self._order_key_paused_until_us = pauses
 
     def on_retry_after(self, target: str, now_us: int, retry_after_us: int) -> None:
-        """Note that an endpoint has told to wait."""
+        """Record the Retry-After of an endpoint."""
         endpoint = self._endpoints.get(target)
         if endpoint is None or retry_after_us <= 0:
             return
@@ -251,7 +255,7 @@
         self._backoff_until_us = waits
 
     def on_endpoint_list(self, update: MembershipUpdate) -> None:
-        """Note a list or changes to it, at the moment when they were read."""
+        """Apply an endpoint list or a change to it, as soon as it is read."""
         if update.kind is UpdateKind.FAILED:
             return
         if update.kind is not UpdateKind.CHANGES:
@@ -261,94 +265,94 @@
             if each.state is EndpointState.GONE:
                 self._endpoints.pop(each.target, None)
             else:
-                self._endpoints[each.target] = self._account_of_endpoint(each)
+                self._endpoints[each.target] = self._track_endpoint(each)
 
-    def _account_of_endpoint(self, endpoint: Endpoint) -> _EndpointAccount:
+    def _track_endpoint(self, endpoint: Endpoint) -> _TrackedEndpoint:
         scope = endpoint.target if endpoint.kind in self._separate_kinds else endpoint.destination
         is_usable = endpoint.state is EndpointState.READY
-        return _EndpointAccount(endpoint.destination, endpoint.zone, is_usable, scope)
+        return _TrackedEndpoint(endpoint.destination, endpoint.zone, is_usable, scope)
 
     def on_result_recorded(self, message: str) -> None:
-        """Note that the final result is on disk."""
-        if (account := self._accounts.get(message)) is not None:
-            account.is_result_recorded = True
+        """Record that the final result is on disk."""
+        if (tracked := self._messages.get(message)) is not None:
+            tracked.is_result_recorded = True
 
     def on_withdrawn(self, message: str) -> None:
-        """Note that the client has withdrawn the message: it is owed nothing, and no attempt starts."""
-        if (account := self._accounts.get(message)) is not None:
-            account.state = MessageState.ENDING
+        """Record that the client has withdrawn the message, so that no further attempt starts."""
+        if (tracked := self._messages.get(message)) is not None:
+            tracked.state = MessageState.ENDING
 
     def on_notification_due(self, message: str) -> None:
-        """Note that the platform is to be told of the final result."""
-        if (account := self._accounts.get(message)) is not None:
-            account.awaits_notification = True
+        """Record that the platform has to be notified of the final result."""
+        if (tracked := self._messages.get(message)) is not None:
+            tracked.awaits_notification = True
 
     def on_acknowledged(self, message: str) -> None:
-        """Note that the platform has acknowledged the final result."""
-        if (account := self._accounts.get(message)) is not None:
-            account.awaits_notification = False
-            self._close_if_over(message, account)
+        """Record that the platform has acknowledged the final result."""
+        if (tracked := self._messages.get(message)) is not None:
+            tracked.awaits_notification = False
+            self._forget_if_finished(message, tracked)
 
     def on_settled(self, message: str) -> None:
-        """Note that the message has its final result and no attempt in flight."""
-        if (account := self._accounts.get(message)) is not None:
-            account.is_settled = True
-            self._close_if_over(message, account)
+        """Record that the message has its final result and no attempt in flight."""
+        if (tracked := self._messages.get(message)) is not None:
+            tracked.is_settled = True
+            self._forget_if_finished(message, tracked)
 
-    def _close_if_over(self, message: str, account: _Account) -> None:
-        if account.awaits_notification or not account.is_settled:
+    def _forget_if_finished(self, message: str, tracked: _TrackedMessage) -> None:
+        if tracked.awaits_notification or not tracked.is_settled:
             return
-        del self._accounts[message]
-        if account.order_key is None:
+        del self._messages[message]
+        if tracked.order_key is None:
             return
-        queue = self._order_queues[account.order_key]
+        queue = self._order_queues[tracked.order_key]
         del queue[message]
         if not queue:
-            del self._order_queues[account.order_key]
+            del self._order_queues[tracked.order_key]
 
-    # questions
+    # Checks
 
     def may_forward(
         self, message: str, target: str, now_us: int, shutdown_age_us: int | None = None
     ) -> Refusal | None:
-        """Return why the first byte of an attempt may not be written now; ``None``: it may."""
-        account = self._accounts.get(message)
-        if account is None:  # it was withdrawn, and has no attempt in flight
+        """Return why the first byte of an attempt may not be written now, or ``None``."""
+        tracked = self._messages.get(message)
+        if tracked is None:  # withdrawn, with no attempt in flight
             return Refusal.ENDED
-        refusal = self._refuse_forward(message, account, target, now_us, shutdown_age_us)
+        refusal = self._refuse_forward(message, tracked, target, now_us, shutdown_age_us)
         if refusal is None or refusal in _EXPECTED_AT_FORWARD:
             return refusal
         return self._report(refusal, "forward", message)
 
     def on_attempt_started(self, message: str, target: str, now_us: int) -> None:
-        """Note that the first byte of an attempt is written, as :meth:`may_forward` has just allowed."""
-        account = self._accounts[message]
-        account.state, account.attempt_started_us = MessageState.IN_FLIGHT, now_us
+        """Record the start of an attempt that :meth:`may_forward` has just allowed."""
+        tracked = self._messages[message]
+        tracked.state, tracked.attempt_started_us = MessageState.IN_FLIGHT, now_us
         endpoint = self._endpoints.get(target)
-        account.attempt_zone = endpoint.zone if endpoint else ""
+        tracked.attempt_zone = endpoint.zone if endpoint else ""
 
     def _refuse_forward(
-        self, message: str, account: _Account, target: str, now_us: int, shutdown_age_us: int | None
+        self, message: str, tracked: _TrackedMessage, target: str, now_us: int, shutdown_age_us: int | None
     ) -> Refusal | None:
-        if not account.is_recorded:
+        if not tracked.is_recorded:
             return Refusal.NOT_RECORDED
-        if not account.is_acknowledged:
+        if not tracked.is_acknowledged:
             return Refusal.NOT_ACKNOWLEDGED
-        if account.state is MessageState.ENDING:
+        if tracked.state is MessageState.ENDING:
             return Refusal.ENDED
-        if account.state is MessageState.IN_FLIGHT:
+        if tracked.state is MessageState.IN_FLIGHT:
             return Refusal.IN_FLIGHT
-        if now_us + self._margin_us(account.message_class.deadline_us) > account.expires_us:
+        if now_us + self._margin_us(tracked.message_class.deadline_us) > tracked.expires_us:
             return Refusal.EXPIRED
         return (
             self._refuse_endpoint(target, now_us)
-            or self._refuse_repeat(account, now_us, self._endpoints[target].zone)
-            or self._refuse_order(message, account, now_us)
-            or may_start_attempt(account.message_class.idempotency, shutdown_age_us)
+            or self._refuse_repeat(tracked, now_us, self._endpoints[target].zone)
+            or self._refuse_order(message, tracked, now_us)
+            or may_start_attempt(tracked.message_class.idempotency, shutdown_age_us)
         )
 
     def _margin_us(self, duration_us: int) -> int:
-        """Return how long before the end of a deadline or window a write must be decided."""
+        """Return how long before the end of a deadline or key window a write must be decided."""
         return min(self._max_stall_us, duration_us // STALL_MARGIN_DIVISOR)
 
     def _refuse_endpoint(self, target: str, now_us: int) -> Refusal | None:
@@ -357,87 +361,87 @@
             return Refusal.DRAINING
         return Refusal.WAITING if self._backoff_until_us.get(endpoint.scope, 0) > now_us else None
 
-    def _refuse_order(self, message: str, account: _Account, now_us: int) -> Refusal | None:
-        key = account.order_key
+    def _refuse_order(self, message: str, tracked: _TrackedMessage, now_us: int) -> Refusal | None:
+        key = tracked.order_key
         if key is None:
             return None
         first = next(iter(self._order_queues[key]))
         if first != message:
-            is_ending = self._accounts[first].state is MessageState.ENDING
+            is_ending = self._messages[first].state is MessageState.ENDING
             return Refusal.BEHIND_ENDING if is_ending else Refusal.BEHIND_IN_ORDER
-        is_first_attempt = account.state is MessageState.ACCEPTED
-        is_resting = is_first_attempt and self._key_rests_until_us.get(key, 0) > now_us
-        return Refusal.KEY_RESTS if is_resting else None
+        is_first_attempt = tracked.state is MessageState.ACCEPTED
+        is_paused = is_first_attempt and self._order_key_paused_until_us.get(key, 0) > now_us
+        return Refusal.KEY_RESTS if is_paused else None
 
     def may_repeat(self, message: str, now_us: int, zone: str = "") -> Refusal | None:
-        """Return why no further attempt may run, however long its message lasts; ``None``: one may."""
-        account = self._accounts.get(message)
-        return Refusal.UNKNOWN if account is None else self._refuse_repeat(account, now_us, zone)
+        """Return why no further attempt may run, regardless of the deadline, or ``None``."""
+        tracked = self._messages.get(message)
+        return Refusal.UNKNOWN if tracked is None else self._refuse_repeat(tracked, now_us, zone)
 
-    def _refuse_repeat(self, account: _Account, now_us: int, zone: str) -> Refusal | None:
-        spec = account.message_class
-        if account.ambiguous_since_us is None or spec.idempotency is Idempotency.IDEMPOTENT:
+    def _refuse_repeat(self, tracked: _TrackedMessage, now_us: int, zone: str) -> Refusal | None:
+        spec = tracked.message_class
+        if tracked.ambiguous_since_us is None or spec.idempotency is Idempotency.IDEMPOTENT:
             return None
         if spec.idempotency is Idempotency.NON_IDEMPOTENT:
             return Refusal.MAY_HAVE_RUN
-        if now_us + self._margin_us(spec.key_window_us) > account.ambiguous_since_us + spec.key_window_us:
+        if now_us + self._margin_us(spec.key_window_us) > tracked.ambiguous_since_us + spec.key_window_us:
             return Refusal.KEY_WINDOW_OVER
-        is_elsewhere = spec.key_scope != "all" and zone != account.ambiguous_zone
+        is_elsewhere = spec.key_scope != "all" and zone != tracked.ambiguous_zone
         return Refusal.OTHER_ZONE if is_elsewhere else None
 
     def may_acknowledge(self, message: str) -> Refusal | None:
-        """Return why the client may not be told that the message is accepted; ``None``: it is told."""
-        account = self._accounts.get(message)
-        if account is None:
+        """Return why the client may not get an acknowledgement, or ``None`` and mark the message so."""
+        tracked = self._messages.get(message)
+        if tracked is None:
             return self._report(Refusal.UNKNOWN, "acknowledge", message)
-        if not account.is_recorded:
+        if not tracked.is_recorded:
             return self._report(Refusal.NOT_RECORDED, "acknowledge", message)
-        if account.state is MessageState.ENDING:
+        if tracked.state is MessageState.ENDING:
             return self._report(Refusal.ENDED, "acknowledge", message)
-        account.is_acknowledged = True
+        tracked.is_acknowledged = True
         return None
 
     def may_end(self, message: str, result: Result) -> Refusal | None:
-        """Return why the message may not get this final result; ``None``: it has it."""
-        account = self._accounts.get(message)
-        refusal = Refusal.UNKNOWN if account is None else _refuse_end(account, result)
+        """Return why the message may not get this final result, or ``None`` and mark it as ending."""
+        tracked = self._messages.get(message)
+        refusal = Refusal.UNKNOWN if tracked is None else _refuse_end(tracked, result)
         if refusal is not None:
             return self._report(refusal, "end", message)
-        assert account is not None
-        account.state = MessageState.ENDING
+        assert tracked is not None
+        tracked.state = MessageState.ENDING
         return None
 
     def may_notify(self, message: str, now_us: int) -> Refusal | None:
-        """Return why the platform may not be told of the final result now; ``None``: it may.
+        """Return why the platform may not be notified of the final result now, or ``None``.
 
-        Danger: a result that is not on disk does not outlive the process, and the next one would go on with
-        the message after its end. So it is held until it is recorded, or the message has expired, after
-        which no process forwards it.
+        A result that is not on disk is lost in a crash, and the next process would resume a message that the
+        platform regards as finished. The notification therefore waits until the result is recorded or the
+        message has expired.
         """
-        account = self._accounts.get(message)
-        if account is None:  # it was acknowledged; a second notification does no harm, a missing one loses it
+        tracked = self._messages.get(message)
+        if tracked is None:  # already acknowledged: a duplicate notification is harmless, a lost one is not
             return None
-        if account.state is not MessageState.ENDING:
+        if tracked.state is not MessageState.ENDING:
             return self._report(Refusal.NOT_ENDED, "notify", message)
-        if not account.is_result_recorded and now_us < account.expires_us:
+        if not tracked.is_result_recorded and now_us < tracked.expires_us:
             return Refusal.RESULT_NOT_RECORDED
         return None
 
     def state_of(self, message: str) -> MessageState:
-        """Return the state of a message; one that is not known has ended."""
-        account = self._accounts.get(message)
-        return MessageState.ENDED if account is None else account.state
+        """Return the state of a message; an unknown message has ended."""
+        tracked = self._messages.get(message)
+        return MessageState.ENDED if tracked is None else tracked.state
 
     def may_close_connection(self, has_open_request: bool, is_client_gone: bool) -> Refusal | None:
-        """Return why a client's connection may not be closed by this process; ``None``: it may."""
+        """Return why this process may not close a client connection, or ``None``."""
         if has_open_request and not is_client_gone:
             return self._report(Refusal.REQUEST_OPEN, "close", "")
         return None
 
     def _report(self, refusal: Refusal, question: str, message: str) -> Refusal:
-        rule, account = RULE_OF_REFUSAL[refusal], self._accounts.get(message)
+        rule, tracked = RULE_OF_REFUSAL[refusal], self._messages.get(message)
         self.violation_counts[rule] = self.violation_counts.get(rule, 0) + 1
-        violation = Violation(rule, refusal, question, message, account.state if account else None)
+        violation = Violation(rule, refusal, question, message, tracked.state if tracked else None)
         self._on_violation(violation)
         if self.is_strict:
             self.strict_violations.append(violation)
@@ -445,24 +449,25 @@
         return refusal
 
 
-def _refuse_end(account: _Account, result: Result) -> Refusal | None:
-    if account.state is MessageState.ENDING:
+def _refuse_end(tracked: _TrackedMessage, result: Result) -> Refusal | None:
+    if tracked.state is MessageState.ENDING:
         return Refusal.ENDED
     if result is Result.DELIVERED:
-        return None if account.is_delivered else Refusal.NOT_DELIVERED
+        return None if tracked.is_delivered else Refusal.NOT_DELIVERED
     if result is Result.FAILED:
         return None
-    if account.state is MessageState.IN_FLIGHT:
+    if tracked.state is MessageState.IN_FLIGHT:
         return Refusal.IN_FLIGHT
-    is_unsafe = account.message_class.idempotency is Idempotency.NON_IDEMPOTENT
-    return Refusal.MAY_HAVE_RUN if is_unsafe and account.ambiguous_since_us is not None else None
+    is_unsafe = tracked.message_class.idempotency is Idempotency.NON_IDEMPOTENT
+    return Refusal.MAY_HAVE_RUN if is_unsafe and tracked.ambiguous_since_us is not None else None
 
 
 def may_start_attempt(idempotency: Idempotency, shutdown_age_us: int | None) -> Refusal | None:
-    """Return why an attempt may not start so long after SIGTERM (``None``: there was none).
+    """Return why an attempt may not start, or ``None``.
 
-    Danger: an attempt that is cut off by the end of the process is ambiguous. A non-idempotent message fails
-    by that; the key window of one with a key could end before the next process is up.
+    ``shutdown_age_us`` is the time since SIGTERM, ``None`` without one. An attempt that is interrupted by the
+    exit of the process is ambiguous: a non-idempotent message then fails, and the key window of a message
+    with an idempotency key could end before the next process is up.
     """
     may_start = (
         idempotency is Idempotency.IDEMPOTENT
@@ -478,9 +483,9 @@
     has_ambiguous_attempt: bool,
     is_time_certain: bool,
 ) -> Refusal | None:
-    """Return why a starting process may not go on with a message of an earlier one; ``None``: it may.
+    """Return why a starting process may not resume a message of an earlier process, or ``None``.
 
-    :attr:`Refusal.CLOCK_UNCERTAIN` means that its key window has to count as over.
+    For :attr:`Refusal.CLOCK_UNCERTAIN` the caller must treat the key window as over.
     """
     if message_class is None:
         return Refusal.UNKNOWN
--- a/honeybarrow/message_state.py
+++ b/honeybarrow/message_state.py
@@ -1,4 +1,4 @@
-"""The states of a message from its acceptance to its end."""
+"""States of a message between acceptance and completion."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
     """State of an accepted message."""
 
     ACCEPTED = "accepted"  # no attempt has started
-    WAITING = "waiting"  # for another attempt; no earlier one can have run
+    WAITING = "waiting"  # between attempts, none of which can have run
     IN_FLIGHT = "in_flight"
-    AMBIGUOUS = "ambiguous"  # no attempt is in flight, and an earlier one may have run
-    ENDING = "ending"  # its final result is decided, and not yet acknowledged
+    AMBIGUOUS = "ambiguous"  # no attempt is in flight, an earlier one may have run
+    ENDING = "ending"  # the final result is decided but not yet acknowledged
     ENDED = "ended"
--- a/honeybarrow/recovery.py
+++ b/honeybarrow/recovery.py
@@ -1,8 +1,10 @@
-"""Crash recovery: what a starting process does with the messages that an earlier process had accepted.
+"""Recovery of accepted messages from the write-ahead log after a restart.
 
-Log records in, a recovery plan out; no I/O and no clock: times are arguments. :class:`PendingMessages` is
-also kept up to date while the process runs, so that a record that compaction copies forward says exactly what
-a restart would read from the log. Times are microseconds of the log's timeline, see
+:class:`PendingMessages` rebuilds the pending messages from log records, and :func:`plan_recovery` decides
+which of them are resumed and which fail. :class:`PendingMessages` is also kept up to date while the process
+runs, so that compaction copies records forward with the state that a restart would read from the log.
+
+The module does no I/O and reads no clock. Times are microseconds of log time, see
 :mod:`honeybarrow.log_timeline`.
 """
 
@@ -14,12 +16,12 @@
 from honeybarrow.message_guard import Refusal, may_resume
 from honeybarrow.settings import MessageClass
 
-UNKNOWN_AGE_US = 1 << 50  # of an ambiguous attempt; longer than any key window
+UNKNOWN_AGE_US = 1 << 50  # age of an ambiguous attempt if unknown; longer than any key window
 
 
 @dataclass(frozen=True, slots=True)
 class InFlightAttempt:
-    """An attempt without a recorded end, and when it started."""
+    """An attempt without a recorded end."""
 
     attempt: int
     started_at_us: int
@@ -27,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DecidedResult:
-    """A final result that a record of acceptance carries; the fields are those of :class:`FinalResult`."""
+    """A final result that is part of an acceptance record; for the fields see :class:`FinalResult`."""
 
     is_returned: bool
     retry_after_ms: int
@@ -35,11 +37,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageAccepted:
-    """A message was accepted; it expires at ``expires_at_us``.
+    """Record of an accepted message.
 
-    ``attempt_count``, ``first_ambiguous_at_us``, ``in_flight`` and ``final_result`` are the message's
-    history; only records that compaction has copied forward have one. ``first_ambiguous_at_us`` is the start
-    of the first attempt that has finished and may have run.
+    ``attempt_count``, ``first_ambiguous_at_us``, ``in_flight`` and ``final_result`` hold the history of the
+    message and are set only in records that compaction has copied forward. ``first_ambiguous_at_us`` is the
+    start of the first attempt that finished and may have run.
     """
 
     message: str
@@ -53,13 +55,13 @@
     first_ambiguous_at_us: int | None = None
     in_flight: tuple[InFlightAttempt, ...] = ()
     final_result: DecidedResult | None = None
-    order_key: str = ""  # empty if the message's class is not ordered
-    sequence_number: int = 0  # order of acceptance over all processes; compaction keeps it
+    order_key: str = ""  # empty if the message class is not ordered
+    sequence_number: int = 0  # order of acceptance across restarts, kept by compaction
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptStarted:
-    """The first byte of an attempt is about to be written."""
+    """Record written before the first byte of an attempt."""
 
     message: str
     attempt: int
@@ -68,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptFinished:
-    """An attempt finished. ``not_run``: it is proven to have had no effect."""
+    """Record of a finished attempt; ``not_run`` if it provably had no effect."""
 
     message: str
     attempt: int
@@ -77,17 +79,17 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageCompleted:
-    """The message was delivered, or the platform has acknowledged the notification of its final result."""
+    """Record of a message that was delivered or whose final result the platform has acknowledged."""
 
     message: str
 
 
 @dataclass(frozen=True, slots=True)
 class FinalResult:
-    """The final result that a notification is about to report.
+    """Record of a final result, written before the platform is notified of it.
 
-    ``is_returned``: returned to the client, who may submit again after ``retry_after_ms``; else failed
-    permanently.
+    If ``is_returned``, the client may submit the message again after ``retry_after_ms``; otherwise the
+    message has failed permanently.
     """
 
     message: str
@@ -100,16 +102,16 @@
 
 @dataclass(slots=True)
 class PendingMessage:
-    """An accepted message that is not completed, and what is known of its attempts."""
+    """An accepted message that is not completed, with the state of its attempts."""
 
     accepted: MessageAccepted
     attempt_count: int
     first_ambiguous_at_us: int | None
-    in_flight: dict[int, int] = field(default_factory=dict)  # start of each attempt without a recorded end
+    in_flight: dict[int, int] = field(default_factory=dict)  # start time of each unfinished attempt
     final_result: FinalResult | None = None
 
     def to_record(self) -> MessageAccepted:
-        """Return one record that says all of this."""
+        """Return one record that holds the complete state."""
         result = self.final_result
         return replace(
             self.accepted,
@@ -120,24 +122,27 @@
         )
 
     def first_ambiguous_start_us(self) -> int | None:
-        """Return when the first ambiguous attempt started, if the process ended now; ``None`` without one."""
+        """Return the start of the first ambiguous attempt, or ``None``.
+
+        Unfinished attempts count as ambiguous, as after a crash.
+        """
         finished = [] if self.first_ambiguous_at_us is None else [self.first_ambiguous_at_us]
         return min([*self.in_flight.values(), *finished], default=None)
 
 
 class PendingMessages:
-    """The accepted messages that are not completed, rebuilt from log records.
+    """Accepted messages that are not completed, rebuilt from log records.
 
-    Bounded by what admission accepts.
+    The number of messages is bounded by admission control.
     """
 
     def __init__(self) -> None:
         self.by_id: dict[str, PendingMessage] = {}
 
     def apply(self, record: LogRecord) -> None:
-        """Apply one record. A record of an unknown message changes nothing: its message was completed."""
+        """Apply one record. Records of unknown messages are ignored, since those messages are completed."""
         if isinstance(record, MessageAccepted):
-            # The same id again is the same message, copied forward by compaction: the last record holds.
+            # A repeated id is the same message copied forward by compaction; the last record is current.
             self.by_id[record.message] = _from_record(record)
             return
         pending = self.by_id.get(record.message)
@@ -175,7 +180,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResumedMessage:
-    """A message that goes to the policy like a new one, with its history; durations count from now."""
+    """A message to resume, with its history; durations are relative to the time of the plan."""
 
     accepted: MessageAccepted
     time_left_us: int
@@ -183,7 +188,7 @@
     ambiguous_age_us: int | None
 
     def delayed_by(self, elapsed_us: int) -> ResumedMessage:
-        """Return the same, ``elapsed_us`` later: a slow start uses up time left and key windows."""
+        """Return a copy as of ``elapsed_us`` later, with less time left and an older ambiguous attempt."""
         elapsed = max(0, elapsed_us)
         age = None if self.ambiguous_age_us is None else self.ambiguous_age_us + elapsed
         return replace(self, time_left_us=self.time_left_us - elapsed, ambiguous_age_us=age)
@@ -195,17 +200,18 @@
     now_us: int,
     is_time_certain: bool = True,
 ) -> list[ResumedMessage | FinalResult]:
-    """Return what becomes of each pending message at a start, in their order of acceptance.
+    """Return the recovery step of each pending message, in order of acceptance.
 
-    A result that was decided before is reported again. A message that has expired, whose class is gone, or
-    that is non-idempotent with an ambiguous attempt fails. All others are resumed. ``is_time_certain``:
-    ``now_us`` and the recorded times belong to one clock; else a key window may be over, whatever they say.
+    A recorded result is reported again. A message fails if it has expired, if its class is no longer
+    configured, or if it is non-idempotent and has an ambiguous attempt. All others are resumed. Unless
+    ``is_time_certain``, ``now_us`` is only an estimate relative to the recorded times, and every key window
+    counts as over.
     """
     steps: list[ResumedMessage | FinalResult] = []
-    # Danger: compaction puts records that it copies forward behind those of messages accepted later.
+    # Compaction moves records behind those of messages accepted later, so log order is not acceptance order.
     for pending in sorted(pending_messages, key=lambda each: each.accepted.sequence_number):
         if pending.final_result is not None:
-            # Danger: the platform may have taken this notification; another result would be a second one.
+            # The platform may have received this result already, so it must not change.
             steps.append(pending.final_result)
         else:
             message_class = message_classes.get(pending.accepted.class_name)
@@ -224,6 +230,6 @@
     age = None if ambiguous_us is None else max(0, now_us - ambiguous_us)
     if refusal is Refusal.CLOCK_UNCERTAIN:
         age = UNKNOWN_AGE_US
-    # Records of earlier builds have wall times, which a step may have put out of reach.
+    # Records of earlier versions hold wall-clock times, which a clock step may have moved far ahead.
     time_left_us = min(time_left_us, message_class.deadline_us)
     return ResumedMessage(accepted, time_left_us, pending.attempt_count, age)
--- a/tests/guard_search.py
+++ b/tests/guard_search.py
@@ -288,5 +288,5 @@
 def _fingerprint(world: World) -> str:
     guard = {name: value for name, value in vars(world.guard).items() if name != "violation_counts"}
     own = {name: value for name, value in vars(world).items() if name != "guard"}
-    return repr((own, guard["_accounts"], guard["_backoff_until_us"], guard["_endpoints"],
-                 guard["_key_rests_until_us"], guard["_order_queues"]))  # fmt: skip
+    return repr((own, guard["_messages"], guard["_backoff_until_us"], guard["_endpoints"],
+                 guard["_order_key_paused_until_us"], guard["_order_queues"]))  # fmt: skip
--- a/tests/test_message_guard.py
+++ b/tests/test_message_guard.py
@@ -128,4 +128,4 @@
     assert guard.state_of("m").value == "ending"
     guard.on_acknowledged("m")
     assert guard.state_of("m").value == "ended"
-    assert (guard._accounts, guard._order_queues) == ({}, {})
+    assert (guard._messages, guard._order_queues) == ({}, {})
