--- a/honeybarrow/log_timeline.py
+++ b/honeybarrow/log_timeline.py
@@ -1,10 +1,12 @@
-"""Time in the write-ahead log: a scale that runs on over restarts and that no step of the wall clock moves.
+"""Log time: the time scale of the write-ahead log.
 
-Log time is microseconds, equal to the wall clock when a folder is first used and counted by the monotonic
-clock from then on. An anchor in the log says which monotonic reading of which boot stands for which log time,
-so the next process on the same boot continues the scale exactly. Where the readings do not belong together
-(another boot, a reading behind the recorded one, a log of an earlier build without anchors) the time that has
-passed is only estimated, and the timeline says so. No I/O and no clock: readings are arguments.
+Log time is in microseconds. It starts at the wall-clock time of the first use of a folder and then follows
+the monotonic clock, so steps of the wall clock do not affect it. A clock anchor in the log maps a monotonic
+reading of one boot to log time, which lets the next process on the same boot continue the scale exactly. The
+elapsed time is only estimated, and :attr:`LogTimeline.is_continuous` is false, after a reboot, for a
+monotonic reading older than the recorded ones, and for a log of an earlier version without anchors.
+
+The module does no I/O and reads no clock; clock readings are arguments.
 """
 
 from __future__ import annotations
@@ -15,7 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockReading:
-    """Both clocks at one moment. ``boot_id`` names the boot of the machine; empty if it can't be known."""
+    """Monotonic and wall-clock time at one moment.
+
+    ``boot_id`` identifies the boot of the machine and is empty if unknown.
+    """
 
     boot_id: str
     monotonic_us: int
@@ -24,32 +29,32 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockAnchor:
-    """The log time of one clock reading, as a record of the log."""
+    """Log record that maps a clock reading to log time."""
 
     reading: ClockReading
     log_time_us: int
 
 
 class TimelineStart(enum.Enum):
-    """How a process came to its log time."""
+    """How the log time of a process was determined."""
 
     NEW = "new"  # the log is empty
-    CONTINUED = "continued"  # by the monotonic clock of the same boot
-    NO_ANCHOR = "no_anchor"  # the newest records are of a build that recorded wall times
+    CONTINUED = "continued"  # same boot, exact by the monotonic clock
+    NO_ANCHOR = "no_anchor"  # the newest records hold wall-clock times of an earlier version
     OTHER_BOOT = "other_boot"
-    MONOTONIC_BEHIND = "monotonic_behind"  # the reading is older than one on record
+    MONOTONIC_BEHIND = "monotonic_behind"  # the reading is older than the newest record
 
 
 @dataclass(frozen=True, slots=True)
 class LogTimeline:
-    """Log time by the monotonic clock of this process."""
+    """Converts monotonic readings of this process to log time."""
 
-    offset_us: int  # log time less monotonic time
+    offset_us: int  # log time minus monotonic time
     start: TimelineStart
 
     @property
     def is_continuous(self) -> bool:
-        """Whether the time since the earlier records is known, and not estimated."""
+        """Whether the time since the earlier records is exact rather than estimated."""
         return self.start in (TimelineStart.NEW, TimelineStart.CONTINUED)
 
     def to_log_time_us(self, monotonic_us: int) -> int:
@@ -60,21 +65,23 @@
 def start_timeline(
     anchor: ClockAnchor | None, newest_log_time_us: int | None, reading: ClockReading
 ) -> LogTimeline:
-    """Return the timeline of a process that starts now, at ``reading``.
+    """Return the timeline of a process that starts at ``reading``.
 
-    ``anchor``: of the newest segment that has records, if it has one; ``newest_log_time_us``: the newest time
-    on record in the log, if there is any.
+    ``anchor`` is the clock anchor of the newest segment that has records, and ``newest_log_time_us`` the
+    newest time in the log; either is ``None`` if missing.
     """
     if newest_log_time_us is None:
         return LogTimeline(reading.wall_us - reading.monotonic_us, TimelineStart.NEW)
-    start = _compare(anchor, newest_log_time_us, reading)
+    start = _classify_start(anchor, newest_log_time_us, reading)
     if anchor is not None and start is TimelineStart.CONTINUED:
         return LogTimeline(anchor.log_time_us - anchor.reading.monotonic_us, start)
     now_us = newest_log_time_us + _estimate_elapsed_us(anchor, newest_log_time_us, reading, start)
     return LogTimeline(now_us - reading.monotonic_us, start)
 
 
-def _compare(anchor: ClockAnchor | None, newest_log_time_us: int, reading: ClockReading) -> TimelineStart:
+def _classify_start(
+    anchor: ClockAnchor | None, newest_log_time_us: int, reading: ClockReading
+) -> TimelineStart:
     if anchor is None:
         return TimelineStart.NO_ANCHOR
     if not reading.boot_id or reading.boot_id != anchor.reading.boot_id:
@@ -87,10 +94,10 @@
 def _estimate_elapsed_us(
     anchor: ClockAnchor | None, newest_log_time_us: int, reading: ClockReading, start: TimelineStart
 ) -> int:
-    """Return how much time has passed since the newest record, at least and as far as can be told.
+    """Return a lower estimate of the time since the newest record.
 
-    Danger: the wall clock may have been stepped meanwhile. Set back it would bring expired messages to life,
-    so log time never runs back; and a machine that has booted since has been up for its monotonic time.
+    The wall clock may have been set back meanwhile. The estimate is never negative, because expired messages
+    would become valid again, and after a reboot it is at least the uptime of the machine.
     """
     wall_us = newest_log_time_us if anchor is None else _wall_time_us(anchor, newest_log_time_us)
     uptime_us = reading.monotonic_us if start is TimelineStart.OTHER_BOOT and reading.boot_id else 0
--- a/honeybarrow/message_guard.py
+++ b/honeybarrow/message_guard.py
@@ -390,7 +390,7 @@
         return Refusal.OTHER_ZONE if is_elsewhere else None
 
     def may_acknowledge(self, message: str) -> Refusal | None:
-        """Return why the client may not get an acknowledgement, or ``None`` and mark the message so."""
+        """Mark the message as acknowledged and return ``None``, or return why it may not be."""
         tracked = self._messages.get(message)
         if tracked is None:
             return self._report(Refusal.UNKNOWN, "acknowledge", message)
@@ -402,7 +402,7 @@
         return None
 
     def may_end(self, message: str, result: Result) -> Refusal | None:
-        """Return why the message may not get this final result, or ``None`` and mark it as ending."""
+        """Mark the message as ending and return ``None``, or return why it may not get this result."""
         tracked = self._messages.get(message)
         refusal = Refusal.UNKNOWN if tracked is None else _refuse_end(tracked, result)
         if refusal is not None:
--- a/honeybarrow/reactor.py
+++ b/honeybarrow/reactor.py
@@ -1,4 +1,4 @@
-"""The reactor of a process: chosen and installed here, and nowhere else."""
+"""Installation of the Twisted reactor of a process."""
 
 from __future__ import annotations
 
@@ -7,9 +7,10 @@
 
 
 def get_reactor() -> Any:
-    """Return the process's reactor, :class:`honeybarrow.resilient_reactor.ResilientReactor`.
+    """Return the reactor of the process, a :class:`honeybarrow.resilient_reactor.ResilientReactor`.
 
-    The only way to it: nothing else imports Twisted's, which would install one by the wall clock.
+    All code has to get the reactor from here: importing ``twisted.internet.reactor`` first would install
+    Twisted's default reactor, which schedules timers by the wall clock.
     """
     if "twisted.internet.reactor" not in sys.modules:
         from twisted.internet.main import installReactor
--- a/honeybarrow/resilient_reactor.py
+++ b/honeybarrow/resilient_reactor.py
@@ -1,9 +1,8 @@
-"""Twisted's epoll reactor, by the monotonic clock, and with system calls that may fail for a moment.
+"""Twisted's epoll reactor with a monotonic clock and retries for transient errors of epoll_ctl(2).
 
-Danger: Twisted's own takes the wall clock and adds each timer's delay to it: set back, the clock holds every
-timer that is due, so that calls never time out; set forward, it ends them all at once. And where the system
-can't watch a socket now (epoll_ctl: ENOMEM, ENOSPC) it raises at whoever happens to read, write or close, so
-that a timer is not set again, or the rest of a turn is not carried out.
+Twisted's own reactor schedules timers by the wall clock: if the clock is set back, timeouts are delayed, and
+if it is set forward, all timers fire at once. It also raises the error of epoll_ctl(2) (ENOMEM, ENOSPC) in
+the caller that reads, writes or closes, which aborts unrelated work such as the rescheduling of a timer.
 """
 
 from __future__ import annotations
@@ -17,21 +16,21 @@
 
 from honeybarrow.tcp_transports import connect_tcp, listen_tcp
 
-WATCH_RETRY_DELAY_S = 0.02  # before a socket that could not be watched is tried again
+WATCH_RETRY_DELAY_S = 0.02  # delay before a socket is registered with epoll retry
 
 
 class ResilientReactor(epollreactor.EPollReactor):
-    """The reactor of a process; see the module."""
+    """An epoll reactor that tolerates clock steps and transient epoll errors."""
 
     seconds = staticmethod(time.monotonic)
 
     def __init__(self) -> None:
         super().__init__()
-        self._unwatched: dict[Any, Callable[[], object]] = {}  # by selectable and direction: the next try
+        self._pending_watches: dict[Any, Callable[[], object]] = {}  # by selectable and direction
         self._is_retry_scheduled = False
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Any:
-        """Twisted: listen on a TCP port."""
+        """Listen on a TCP port."""
         return listen_tcp(self, port, factory, backlog, interface)
 
     def connectTCP(
@@ -42,44 +41,44 @@
         timeout: float = 30.0,
         bindAddress: Any = None,  # noqa: N803
     ) -> Any:
-        """Twisted: open a TCP connection."""
+        """Open a TCP connection."""
         return connect_tcp(self, host, port, factory, timeout, bindAddress)
 
     def addReader(self, reader: Any) -> None:  # noqa: N802
-        """Twisted: watch for input, now or as soon as the system can."""
+        """Watch for input; retry if the socket cannot be registered now."""
         self._watch(reader, super().addReader, self.addReader)
 
     def addWriter(self, writer: Any) -> None:  # noqa: N802
-        """Twisted: watch for room to write, now or as soon as the system can."""
+        """Watch for writability; retry if the socket cannot be registered now."""
         self._watch(writer, super().addWriter, self.addWriter)
 
     def removeReader(self, reader: Any) -> None:  # noqa: N802
-        """Twisted: watch for input no longer."""
-        self._unwatched.pop((reader, self.addReader), None)
+        """Stop watching for input."""
+        self._pending_watches.pop((reader, self.addReader), None)
         super().removeReader(reader)
 
     def removeWriter(self, writer: Any) -> None:  # noqa: N802
-        """Twisted: watch for room to write no longer."""
-        self._unwatched.pop((writer, self.addWriter), None)
+        """Stop watching for writability."""
+        self._pending_watches.pop((writer, self.addWriter), None)
         super().removeWriter(writer)
 
-    def _watch(self, selectable: Any, watch: Callable[[Any], object], again: Callable[[Any], object]) -> None:
+    def _watch(self, selectable: Any, watch: Callable[[Any], object], retry: Callable[[Any], object]) -> None:
         try:
             watch(selectable)
         except OSError:
-            self._watch_later(selectable, again)
+            self._watch_later(selectable, retry)
 
-    def _watch_later(self, selectable: Any, again: Callable[[Any], object]) -> None:
-        self._unwatched[selectable, again] = lambda: again(selectable)
+    def _watch_later(self, selectable: Any, retry: Callable[[Any], object]) -> None:
+        self._pending_watches[selectable, retry] = lambda: retry(selectable)
         if not self._is_retry_scheduled:
             self._is_retry_scheduled = True
-            self.callLater(WATCH_RETRY_DELAY_S, self._retry)
+            self.callLater(WATCH_RETRY_DELAY_S, self._retry_pending_watches)
 
-    def _retry(self) -> None:
+    def _retry_pending_watches(self) -> None:
         self._is_retry_scheduled = False
-        unwatched, self._unwatched = self._unwatched, {}
-        for (selectable, _), watch in unwatched.items():
-            if selectable.fileno() != -1:  # else it was closed meanwhile
+        pending, self._pending_watches = self._pending_watches, {}
+        for (selectable, _), watch in pending.items():
+            if selectable.fileno() != -1:  # still open
                 watch()
 
     def _remove(
@@ -88,9 +87,8 @@
         try:
             super()._remove(xer, primary, other, selectables, event, antievent)
         except OSError:
-            # Danger: a descriptor that stays noted after its socket is closed would keep the next socket of
-            # that number unwatched. It is taken out whole, which needs no memory, and the other direction is
-            # watched anew.
+            # A closed descriptor that stays registered here would keep the next socket with the same number
+            # from being watched. Unregistering needs no memory; the other direction is watched again later.
             descriptor = xer.fileno()
             with contextlib.suppress(OSError):
                 self._poller.unregister(descriptor)
--- a/honeybarrow/tcp_transports.py
+++ b/honeybarrow/tcp_transports.py
@@ -1,8 +1,8 @@
-"""TCP listeners and connections that outlive transient errors of system calls.
+"""TCP listeners and connections that survive transient errors of system calls.
 
-Twisted's own close a connection when a read fails for want of memory, try an accept that fails for want of
-descriptors again at once and for ever, and hand out a connect's error without saying whose fault it is. Only
-the calls themselves are replaced here; buffers, protocols and timers stay Twisted's.
+Twisted's transports close a connection when a read fails for lack of memory, busy-loop when accept(2) fails
+for lack of descriptors, and report a failed connect without telling local errors from errors of the peer.
+This module replaces only the system calls; buffering, protocols and timers remain Twisted's.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 from twisted.internet import error, main, tcp
 from twisted.python.failure import Failure
 
-# Of this process or machine, and over in a moment: nothing has happened, and the call may be made again.
+# Transient local errors: the call had no effect and can be repeated.
 TRANSIENT_ERRNOS = frozenset((errno.EINTR, errno.ENOMEM, errno.ENOBUFS))
 EXHAUSTION_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ENOBUFS))
-# accept(2): errors of the one connection that was at the head of the queue, which is gone with it.
+# accept(2): errors of a single pending connection, which the kernel has already dropped.
 _LOST_CONNECTION_ERRNOS = frozenset(
     (
         errno.ECONNABORTED, errno.EPROTO, errno.EPERM, errno.EINTR, errno.ENETDOWN, errno.ENOPROTOOPT,
@@ -28,11 +28,11 @@
         errno.ETIMEDOUT, errno.ECONNRESET,
     )
 )  # fmt: skip
-# connect(2) and socket(2): errors that say nothing of the peer.
+# connect(2) and socket(2): local errors, which do not concern the peer.
 _LOCAL_CONNECT_ERRNOS = EXHAUSTION_ERRNOS | {
     errno.EADDRNOTAVAIL, errno.EADDRINUSE, errno.EAGAIN, errno.EINTR, errno.ENOSPC,
 }  # fmt: skip
-RETRY_DELAY_S = 0.02  # before a transient failure is tried again, so that the reactor does not spin
+RETRY_DELAY_S = 0.02  # delay before a failed call is repeated, to avoid a busy loop
 ACCEPT_RETRY_DELAY_S = 0.05
 MAX_ACCEPTS_PER_TURN = 100
 LOG_INTERVAL_S = 10.0
@@ -42,16 +42,16 @@
 
 
 def is_local_connect_failure(reason: Any) -> bool:
-    """Return whether a connect failed for a reason that says nothing of the peer, by its ``Failure``."""
+    """Return whether the ``Failure`` of a connect has a local cause rather than one at the peer."""
     value = reason.value
     number = getattr(value, "osError", None)
-    if isinstance(value, error.ConnectBindError):  # how Twisted reports that there is no socket
+    if isinstance(value, error.ConnectBindError):  # Twisted raises it if socket(2) or bind(2) fails
         return True
     return number in _LOCAL_CONNECT_ERRNOS
 
 
 def _watch(reactor: Any, start: Callable[[], object], retry: Callable[[], object]) -> None:
-    """Let the reactor watch a socket; if it can't now, try again later."""
+    """Start watching a socket; schedule a retry if the reactor cannot register it."""
     try:
         start()
     except OSError:
@@ -59,13 +59,13 @@
 
 
 class _ResilientConnection(tcp.Connection):
-    """Reads and writes again after a transient error; mixed into Twisted's transports."""
+    """Mixin for Twisted transports that repeats reads and writes after transient errors."""
 
     reactor: Any
-    is_input_paused = False  # by the protocol
+    is_input_paused = False  # set while the protocol has paused its input
 
     def doRead(self) -> Any:  # noqa: N802  Twisted's name
-        """Twisted: read once, and pass on what came."""
+        """Read once and pass the data to the protocol."""
         try:
             data = self.socket.recv(self.bufferSize)
         except OSError as failure:
@@ -82,22 +82,22 @@
         self.reactor.callLater(RETRY_DELAY_S, self._resume_reading)
 
     def _resume_reading(self) -> None:
-        # A protocol that has paused its input meanwhile resumes it by itself.
+        # If the protocol has paused its input, reading restarts when the protocol resumes it.
         if self.connected and not self.disconnected and not self.is_input_paused:
             _watch(self.reactor, self.startReading, self._resume_reading)
 
     def pauseProducing(self) -> None:
-        """Twisted: stop reading."""
+        """Stop reading."""
         self.is_input_paused = True
         super().pauseProducing()
 
     def resumeProducing(self) -> None:
-        """Twisted: read again."""
+        """Resume reading."""
         self.is_input_paused = False
         super().resumeProducing()
 
     def writeSomeData(self, data: Any) -> Any:  # noqa: N802  Twisted's name
-        """Twisted: write once; the number of bytes written, or an exception."""
+        """Write once; return the number of bytes written, or an exception if the connection is lost."""
         try:
             return self.socket.send(memoryview(data)[: self.SEND_LIMIT])
         except OSError as failure:
@@ -119,24 +119,24 @@
 
 
 class ResilientServer(_ResilientConnection, tcp.Server):
-    """An accepted connection."""
+    """Transport of an accepted connection."""
 
 
 class ResilientClient(_ResilientConnection, tcp.Client):
-    """A connection made by this process."""
+    """Transport of an outgoing connection."""
 
     def _finishInit(self, whenDone: Any, skt: Any, error: Any, reactor: Any) -> None:  # noqa: N802, N803
-        """Twisted: begin to connect. It would do so a reactor round later, which may be long."""
+        """Start to connect at once; Twisted would defer it to the next reactor iteration."""
         super()._finishInit(whenDone, skt, error, reactor)
         if whenDone is not None and not self._requiresResolution:
-            with contextlib.suppress(OSError):  # what came of it is seen in the next round
+            with contextlib.suppress(OSError):  # doConnect handles the outcome in the next iteration
                 skt.connect_ex(self.addr)
 
     def doConnect(self) -> None:  # noqa: N802  Twisted's name
-        """Twisted: connect, or see what became of it."""
+        """Connect, or handle the outcome of a pending connect."""
         try:
             super().doConnect()
-        except OSError as failure:  # the reactor could not watch the socket
+        except OSError as failure:  # the reactor could not register the socket
             if self.connected:
                 self.connectionLost(_Failure(main.CONNECTION_LOST))
             else:
@@ -144,22 +144,22 @@
 
 
 class ResilientConnector(tcp.Connector):
-    """Connects by :class:`ResilientClient`."""
+    """Connector that uses :class:`ResilientClient`."""
 
     def _makeTransport(self) -> ResilientClient:  # noqa: N802  Twisted's name
         return ResilientClient(self.host, self.port, self.bindAddress, self, self.reactor)
 
 
 class ResilientPort(tcp.Port):
-    """A listener that goes on whatever accept(2) says, and rests where descriptors or memory run short."""
+    """Listener that survives all errors of accept(2) and pauses when descriptors or memory run out."""
 
     transport = ResilientServer
     factory: Any
     _logged_at_s = float("-inf")
-    exhaustion_count = 0  # accepts that failed for want of descriptors or memory
+    exhaustion_count = 0  # accept(2) failures for lack of descriptors or memory
 
     def doRead(self) -> None:  # noqa: N802  Twisted's name
-        """Twisted: accept the connections that wait."""
+        """Accept pending connections."""
         for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 accepted, address = self.socket.accept()
@@ -167,13 +167,13 @@
                 if failure.errno in _LOST_CONNECTION_ERRNOS:
                     continue
                 if failure.errno not in (errno.EAGAIN, errno.EWOULDBLOCK):
-                    self._rest(failure)
+                    self._pause_accepting(failure)
                 return
-            if not self._serve(accepted, address):
+            if not self._start_connection(accepted, address):
                 return
 
-    def _serve(self, accepted: Any, address: Any) -> bool:
-        """Start a connection; whether the reactor could take it."""
+    def _start_connection(self, accepted: Any, address: Any) -> bool:
+        """Start a connection; return whether the reactor could register it."""
         protocol = self.factory.buildProtocol(self._buildAddr(address))
         if protocol is None:
             accepted.close()
@@ -183,13 +183,13 @@
             transport = self.transport(accepted, protocol, address, self, self.sessionno, self.reactor)
         except OSError as failure:
             accepted.close()
-            self._rest(failure)
+            self._pause_accepting(failure)
             return False
         protocol.makeConnection(transport)
         return True
 
-    def _rest(self, failure: OSError) -> None:
-        """Accept nothing for a moment: the queue of the system keeps the connections that wait."""
+    def _pause_accepting(self, failure: OSError) -> None:
+        """Stop accepting for ``ACCEPT_RETRY_DELAY_S``; the kernel queues pending connections meanwhile."""
         self.exhaustion_count += 1
         now_s = time.monotonic()
         if now_s - self._logged_at_s >= LOG_INTERVAL_S:
@@ -204,7 +204,7 @@
 
 
 def listen_tcp(reactor: Any, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Any:
-    """Listen on a TCP port of a reactor of Twisted's."""
+    """Listen on a TCP port with a :class:`ResilientPort`; return the port."""
     listener = ResilientPort(port, factory, backlog, interface, reactor)
     listener.startListening()
     return listener
@@ -213,7 +213,7 @@
 def connect_tcp(
     reactor: Any, host: str, port: int, factory: Any, timeout: float = 30.0, bind_address: Any = None
 ) -> Any:
-    """Open a TCP connection by a reactor of Twisted's; ``timeout`` in seconds."""
+    """Open a TCP connection with a :class:`ResilientConnector`; ``timeout`` is in seconds."""
     connector = ResilientConnector(host, port, factory, timeout, bind_address, reactor)
     connector.connect()
     return connector
