--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -1,7 +1,7 @@
-"""One forwarder in this process on loopback sockets, run turn by turn, with its clock in the test's hands.
+"""Deterministic harness that runs one forwarder in this process on loopback sockets with a simulated clock.
 
-What a peer writes stays in the system until the test lets the forwarder's reactor read it. So a test puts
-bytes between any two steps of the forwarder, the same way every time, and nothing sleeps.
+The test runs the reactor one iteration at a time, so data of a peer can arrive between any two steps of the
+forwarder. Nothing sleeps.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class ListeningPeer:
-    """A listener of the test, and the connections made to it, oldest first."""
+    """A listener of the test and its accepted connections, oldest first."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=64)
@@ -43,31 +43,34 @@
         self.connections: list[PeerConnection] = []
 
     def accept_connections(self) -> list[PeerConnection]:
-        """Accept all waiting connections; return all so far."""
+        """Accept all pending connections; return all connections so far."""
         while True:
             try:
-                own, _ = self.listener.accept()
+                accepted, _ = self.listener.accept()
             except BlockingIOError:
                 return self.connections
-            self.connections.append(PeerConnection(own))
+            self.connections.append(PeerConnection(accepted))
 
     def close(self) -> None:
-        """Close everything."""
-        for each in (self.listener, *(line.socket for line in self.connections)):
+        """Close the listener and all connections."""
+        for each in (self.listener, *(connection.socket for connection in self.connections)):
             each.close()
 
 
 class PeerConnection:
-    """The test's end of a connection. ``received``: all bytes read; ``ending``: how it ended, if it did."""
+    """The test's side of a connection.
 
-    def __init__(self, own: socket.socket) -> None:
-        self.socket, self.received, self.ending = own, b"", ""
-        self.answered_count = 0  # requests with notifications, or a watch
-        own.setblocking(False)
-        own.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # else the system holds small writes back
+    ``received`` holds all bytes read; ``ending`` is ``"end"``, ``"reset"`` or, while it is open, empty.
+    """
+
+    def __init__(self, connected: socket.socket) -> None:
+        self.socket, self.received, self.ending = connected, b"", ""
+        self.answered_count = 0  # answered requests of the forwarder
+        connected.setblocking(False)
+        connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # send small writes at once
 
     def read(self) -> bytes:
-        """Read what has come; return all bytes so far."""
+        """Read all available data; return all bytes received so far."""
         while not self.ending:
             try:
                 data = self.socket.recv(1 << 16)
@@ -82,34 +85,34 @@
         return self.received
 
     def write(self, data: bytes) -> None:
-        """Write; all of it goes to the system at once."""
+        """Write data, which must fit into the socket buffer."""
         assert self.socket.send(data) == len(data)
 
     def reset(self) -> None:
-        """Break the connection."""
+        """Reset the connection."""
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
         self.close("reset")
 
     def close(self, how: str = "end") -> None:
-        """Close it from here."""
+        """Close the connection and record how it ended."""
         self.read()
         self.ending = self.ending or how
         self.socket.close()
 
 
 class ProcessKilledError(BaseException):
-    """The process is killed at this very point."""
+    """Simulates a kill of the process at the point where it is raised."""
 
 
 class Rig:
-    """The forwarder, its platform and its targets."""
+    """A forwarder with its discovery, its endpoint and its clients."""
 
     def __init__(self, folder: Path, sockets: int = 256, on_request: bool = True, **changes: Any) -> None:
         self.folder, self.sockets = folder, sockets
         self.settings = settings(polls_endpoint_list=on_request, **changes)
         self.now_s = 100.0
-        self.booted_s, self.boot_id = 0.0, "first"  # of the machine
-        self.wall_step_s = 0.0  # how far the wall clock was stepped
+        self.booted_s, self.boot_id = 0.0, "first"  # of the simulated machine
+        self.wall_step_s = 0.0  # offset of the wall clock from steps
         self.target, self.platform, self.moved_platform = ListeningPeer(), ListeningPeer(), ListeningPeer()
         self.reactors: list[Any] = []
         self.clients: list[PeerConnection] = []
@@ -119,19 +122,19 @@
         self.start_process()
 
     def endpoint_list(self, index: int = 40, state: str = "active") -> dict[str, Any]:
-        """Return a list of one endpoint, of destination 7."""
+        """Return an endpoint list with one endpoint of destination 7."""
         row = {"name": "s1", "address": self.target.address, "group": 7, "type": "shop", "status": state}
         return {"index": index, "snapshot": True, "endpoints": [row]}
 
     def start_process(self) -> None:
-        """Start a process of the same name on the same folder."""
+        """Start a forwarder process with the same name and folder."""
         self.reactor: Any = _Reactor()
         self.reactors.append(self.reactor)
         self.reactor.seconds = lambda: self.now_s
         self.reactor.listenTCP = partial(listen_tcp, self.reactor)
         self.reactor.connectTCP = partial(connect_tcp, self.reactor)
         self.is_stopped = False
-        self.reactor.stop = self._stopped
+        self.reactor.stop = self._on_stop
         config = ForwarderConfig(
             "n0", self.listen, parse_address(self.platform.address), str(self.folder), len(self.reactors),
             ResourceLimits(self.sockets, 3_000_000), parse_endpoint_list(self.endpoint_list()), self.settings,
@@ -141,58 +144,58 @@
             lambda: int((EPOCH_S + self.now_s + self.wall_step_s) * 1e6),
             self.boot_id,
         )
-        self.process = ForwarderProcess(config, self.reactor, clocks, self._crashed)
+        self.process = ForwarderProcess(config, self.reactor, clocks, self._on_crash)
         self.process.start()
         self.run_turns(3)
 
-    def _stopped(self) -> None:
+    def _on_stop(self) -> None:
         self.is_stopped = True
 
-    def _crashed(self, error: Exception) -> None:
+    def _on_crash(self, error: Exception) -> None:
         raise error
 
     def run_turns(self, times: int = 1) -> None:
-        """Run so many turns of the reactor, without a change of time."""
+        """Run iterations of the reactor without advancing the clock."""
         for _ in range(times):
             if not self.is_stopped:
                 self.reactor.iterate(0)
 
     def advance(self, seconds: float, step: float = 0.05) -> None:
-        """Let time pass, two turns each ``step``."""
+        """Advance the clock in increments of ``step`` seconds, with two reactor iterations each."""
         end = self.now_s + seconds
         while self.now_s < end - 1e-9:
             self.now_s = min(end, self.now_s + step)
             self.run_turns(2)
 
     def advance_until(self, check: Callable[[], Any], seconds: float = 20.0) -> Any:
-        """Let time pass until something is true, and return it."""
+        """Advance the clock until ``check`` returns a true value, and return that value."""
         end = self.now_s + seconds
         while not (found := check()):
-            assert self.now_s < end, "it did not come true"
+            assert self.now_s < end, "condition was not met in time"
             self.run_turns(3)
             if not check():
                 self.advance(0.02, 0.02)
         return found
 
     def kill(self) -> None:
-        """Kill the process: its sockets close, and nothing more is written."""
+        """Kill the process: close its sockets and run no further iterations."""
         self.is_stopped = True
         for each in self.reactor.removeAll():
-            own = getattr(each, "socket", None)
-            if own is not None:
-                own.close()
+            sock = getattr(each, "socket", None)
+            if sock is not None:
+                sock.close()
 
-    # clients
+    # Clients
 
     def connect_client(self) -> PeerConnection:
-        """Connect a client; the forwarder has not accepted it yet."""
-        line = PeerConnection(socket.create_connection(self.listen))
-        self.clients.append(line)
-        return line
+        """Connect a client, which the forwarder accepts in a later iteration."""
+        connection = PeerConnection(socket.create_connection(self.listen))
+        self.clients.append(connection)
+        return connection
 
     @staticmethod
     def request(message: str, cls: str = "note", left_ms: int = 3000, key: str = "key") -> bytes:
-        """Encode a client's request."""
+        """Return an encoded client request."""
         return (
             f"POST /{cls}/{key} HTTP/1.1\r\nX-Correlation-Id: {message}\r\nX-Service-Class: {cls}\r\n"
             f"X-Time-Left: {left_ms}m\r\nX-Consignee: dest=7\r\nIdempotency-Key: {key}\r\n"
@@ -200,93 +203,95 @@
         ).encode()
 
     def connect_idle_client(self) -> PeerConnection:
-        """Connect a client and let one request be answered."""
-        line = self.connect_client()
-        line.write(b"GET /up HTTP/1.1\r\n\r\n")
-        self.advance_until(lambda: line.read().startswith(b"HTTP/1.1 200"))
+        """Connect a client whose first request has been answered."""
+        connection = self.connect_client()
+        connection.write(b"GET /up HTTP/1.1\r\n\r\n")
+        self.advance_until(lambda: connection.read().startswith(b"HTTP/1.1 200"))
         self.run_turns()
-        line.received = b""
-        return line
+        connection.received = b""
+        return connection
 
     def submit(
         self, message: str, cls: str = "note", left_ms: int = 3000, key: str = "key"
     ) -> PeerConnection:
-        """Submit a message on a connection of its own, and wait for the answer."""
-        line = self.connect_client()
-        line.write(self.request(message, cls, left_ms, key))
-        self.advance_until(line.read)
-        return line
+        """Submit a message on a new connection and wait for the answer."""
+        connection = self.connect_client()
+        connection.write(self.request(message, cls, left_ms, key))
+        self.advance_until(connection.read)
+        return connection
 
-    # the other sides
+    # Endpoint and discovery
 
     def read_call(self, message: str = "") -> PeerConnection:
-        """Return the newest whole call to the endpoint, of that message if one is named."""
+        """Return the connection of the newest complete call, of ``message`` if given."""
         name = f"X-Correlation-Id: {message}".encode()
 
-        def whole() -> PeerConnection | None:
-            lines = [line for line in self.target.accept_connections() if line.read().endswith(b"\r\n\r\nhi")]
-            lines = [line for line in lines if name in line.received.split(b"POST ")[-1]]
-            return lines[-1] if lines else None
+        def find_call() -> PeerConnection | None:
+            connections = [
+                each for each in self.target.accept_connections() if each.read().endswith(b"\r\n\r\nhi")
+            ]
+            connections = [each for each in connections if name in each.received.split(b"POST ")[-1]]
+            return connections[-1] if connections else None
 
-        found: PeerConnection = self.advance_until(whole)
+        found: PeerConnection = self.advance_until(find_call)
         return found
 
     def count_calls(self, message: str) -> int:
-        """Count the calls of a message."""
+        """Return the number of calls made for a message."""
         name = f"X-Correlation-Id: {message}\r\n".encode()
-        return sum(line.read().count(name) for line in self.target.accept_connections())
+        return sum(connection.read().count(name) for connection in self.target.accept_connections())
 
     def read_watch(self, party: ListeningPeer | None = None) -> PeerConnection:
-        """Return the newest open watch at a platform."""
-        own = party or self.platform
+        """Return the connection of the newest open watch."""
+        peer = party or self.platform
 
-        def asked() -> PeerConnection | None:
-            lines = [
+        def find_watch() -> PeerConnection | None:
+            connections = [
                 each
-                for each in own.accept_connections()
+                for each in peer.accept_connections()
                 if each.read().startswith(b"GET /") and not each.ending
             ]
-            return lines[-1] if lines else None
+            return connections[-1] if connections else None
 
-        found: PeerConnection = self.advance_until(asked)
+        found: PeerConnection = self.advance_until(find_watch)
         return found
 
     def send_list(self, watch: PeerConnection, index: int, state: str = "active", head: bool = True) -> None:
-        """Send the list on a watch."""
+        """Send an endpoint list on a watch."""
         data = json.dumps(self.endpoint_list(index, state)).encode() + b"\n"
         watch.write((WATCH_HEAD if head else b"") + f"{len(data):x}\r\n".encode() + data + b"\r\n")
 
     def receive_notifications(self, answer: bytes = NO_CONTENT) -> list[dict[str, Any]]:
-        """Return all notifications that have come to the platform; answer each batch with ``answer``."""
+        """Return all notifications received so far; answer each new batch with ``answer``."""
         found: list[dict[str, Any]] = []
         for party in (self.platform, self.moved_platform):
-            for line in party.accept_connections():
-                for part in line.read().split(b"POST /reports")[1:]:
+            for connection in party.accept_connections():
+                for part in connection.read().split(b"POST /reports")[1:]:
                     found += [json.loads(row) for row in part.split(b"\r\n\r\n", 1)[1].splitlines() if row]
-                batches = line.received.count(b"POST /reports")
-                if answer and batches > line.answered_count and not line.ending:
-                    line.write(answer * (batches - line.answered_count))
-                line.answered_count = batches
+                batches = connection.received.count(b"POST /reports")
+                if answer and batches > connection.answered_count and not connection.ending:
+                    connection.write(answer * (batches - connection.answered_count))
+                connection.answered_count = batches
         return found
 
     def close(self) -> None:
-        """Close everything."""
+        """Close all sockets and cancel all timers."""
         for reactor in self.reactors:
             for each in reactor.removeAll():
-                own = getattr(each, "socket", None)
-                if own is not None:
-                    own.close()
+                sock = getattr(each, "socket", None)
+                if sock is not None:
+                    sock.close()
             for timer in reactor.getDelayedCalls():
                 timer.cancel()
             os.close(reactor.waker.i)
             os.close(reactor.waker.o)
-        for line in self.clients:
-            line.socket.close()
+        for connection in self.clients:
+            connection.socket.close()
         for party in (self.target, self.platform, self.moved_platform):
             party.close()
 
 
 def wait_for_end(rig: Rig, connection: PeerConnection) -> str:
-    """Wait for a connection's end, within the time allowed for it; return how it ended."""
+    """Wait up to 3 s for the end of a connection; return how it ended."""
     rig.advance_until(lambda: connection.read() is not None and connection.ending, 3)
     return connection.ending
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -1,7 +1,6 @@
-"""Stand-ins of the platform on loopback: discovery with its watch and notifications, an endpoint, and a
-client.
+"""Loopback stand-ins for the peers of a forwarder process: discovery, an endpoint and a client.
 
-They record what crossed the sockets; the tests check that alone.
+They record the requests and responses on their sockets, which the tests check.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes] | None:
-    """A start line, its fields and its body; ``None`` at the end of the connection."""
+    """Read one HTTP message; return start line, fields and body, or ``None`` if the connection ends."""
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
         parts = (line.partition(":") for line in head[1:])
@@ -33,7 +32,7 @@
 
 
 def address_of(server: asyncio.Server) -> str:
-    """Return the address of a server."""
+    """Return the ``host:port`` address of a server."""
     host, port = server.sockets[0].getsockname()[:2]
     return f"{host}:{port}"
 
@@ -45,11 +44,11 @@
         self.folder, self.settings = folder, settings
         self.state = folder / "state"
         self.state.mkdir()
-        self.calls: list[tuple[str, bytes]] = []  # id and body of each call that came
+        self.calls: list[tuple[str, bytes]] = []  # message id and body of each received call
         self.keys: dict[str, str] = {}
-        self.delivered: list[str] = []  # 200 was written
+        self.delivered: list[str] = []  # ids of messages answered with 200
         self.notifications: list[dict[str, Any]] = []
-        self.watches: list[tuple[str, str]] = []  # the discovery asked, and the request line
+        self.watches: list[tuple[str, str]] = []  # name of the discovery and request line
         self.choose_answer: Callable[[str], bytes | None] = lambda message: TARGET_ANSWER
         self.process: asyncio.subprocess.Process | None = None
         self.servers: list[asyncio.Server] = []
@@ -58,10 +57,10 @@
         self.listen = "127.0.0.1:0"
         self.discovery_name = "first"
         self.is_discovery_silent = False  # discovery accepts connections and never answers
-        self.environment: dict[str, str] = {}  # of the forwarder, besides its own
+        self.environment: dict[str, str] = {}  # additional variables of the forwarder process
 
     async def serve(self, name: str, handler: Callable[..., Any]) -> None:
-        """Listen for one peer."""
+        """Start the listener of one peer."""
 
         async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             task = asyncio.current_task()
@@ -79,7 +78,7 @@
         self.addresses[name] = address_of(server)
 
     async def start_peers(self) -> None:
-        """Start all peers, on free ports."""
+        """Start all peers on free ports."""
         await self.serve("first", self.discovery)
         await self.serve("second", self.discovery)
         await self.serve("target", self.target)
@@ -89,7 +88,7 @@
         await probe.wait_closed()
 
     def endpoint_list(self, index: int, snapshot: bool) -> dict[str, Any]:
-        """Return a list of one endpoint, of destination 7."""
+        """Return an endpoint list with one endpoint of destination 7."""
         entry = {"name": "s1", "address": self.addresses["target"], "zone": "a", "type": "shop", "group": 7}
         return {
             "index": index,
@@ -118,20 +117,20 @@
     async def target(self, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while (message := await read_message(reader)) is not None:
             _, fields, body = message
-            own = fields["x-correlation-id"]
-            self.calls.append((own, body))
-            self.keys[own] = fields.get("idempotency-key", "")
-            data = self.choose_answer(own)
+            message_id = fields["x-correlation-id"]
+            self.calls.append((message_id, body))
+            self.keys[message_id] = fields.get("idempotency-key", "")
+            data = self.choose_answer(message_id)
             if data is None:
-                continue  # silent
+                continue  # no answer
             if data.startswith(b"HTTP/1.1 200"):
-                self.delivered.append(own)
+                self.delivered.append(message_id)
             writer.write(data)
             await writer.drain()
 
     @contextlib.asynccontextmanager
     async def unreachable_target(self) -> AsyncIterator[None]:
-        """While in it, connects to the target get no answer: its queue of connections is full."""
+        """Keep the connection queue of the target full, so that connects to it are not answered."""
         host, _, port = self.addresses["target"].rpartition(":")
         for server in self.servers:
             if address_of(server) == self.addresses["target"]:
@@ -152,7 +151,7 @@
             for each in (listener, *fillers):
                 each.close()
 
-    # the forwarder
+    # Forwarder process
 
     def configure(self) -> None:
         """Write the configuration file."""
@@ -191,20 +190,20 @@
             return False
 
     async def wait_until(self, check: Callable[[], Any], seconds: float = 30) -> None:
-        """Wait until something is true."""
+        """Wait until ``check`` returns a true value; fail after ``seconds``."""
         for _ in range(int(seconds * 50)):
             found = check()
             if await found if asyncio.iscoroutine(found) else found:
                 return
             await asyncio.sleep(0.02)
-        raise AssertionError(f"it never became true\n{self.read_log()}")
+        raise AssertionError(f"condition was not met in time\n{self.read_log()}")
 
     def read_log(self) -> str:
         """Return the forwarder's log."""
         return (self.folder / "log").read_text()
 
     async def send_request(self, head: str, body: bytes = b"") -> int:
-        """Send a request on a connection of its own; return the status of its answer, 0 if there is none."""
+        """Send a request on a new connection; return the status of the answer, or 0 without one."""
         host, _, port = self.listen.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(head.encode() + body)
@@ -213,7 +212,7 @@
         return int(answer[0].split()[1]) if answer else 0
 
     async def submit(self, message: str, cls: str = "note", left: str = "8000m") -> int:
-        """Submit one message; return the status."""
+        """Submit one message; return the status of the answer."""
         return await self.send_request(
             f"POST /{cls} HTTP/1.1\r\nHost: o\r\nX-Correlation-Id: {message}\r\nX-Service-Class: {cls}\r\n"
             f"X-Time-Left: {left}\r\nX-Consignee: dest=7\r\nIdempotency-Key: k-{message}\r\n"
@@ -222,13 +221,13 @@
         )
 
     async def end_forwarder(self, number: signal.Signals) -> int:
-        """Signal the forwarder and wait for its end; return its exit status."""
+        """Send a signal to the forwarder and wait until it exits; return its exit status."""
         assert self.process is not None
         self.process.send_signal(number)
         return await asyncio.wait_for(self.process.wait(), 20)
 
     async def close(self) -> None:
-        """Stop everything."""
+        """Stop the forwarder and all peers; fail if the forwarder has logged a guard violation."""
         if self.process is not None and self.process.returncode is None:
             await self.end_forwarder(signal.SIGKILL)
         for task in self.tasks:
