--- a/honeybarrow/resilient_reactor.py
+++ b/honeybarrow/resilient_reactor.py
@@ -16,7 +16,7 @@
 
 from honeybarrow.tcp_transports import connect_tcp, listen_tcp
 
-WATCH_RETRY_DELAY_S = 0.02  # delay before a socket is registered with epoll retry
+WATCH_RETRY_DELAY_S = 0.02  # delay before a socket is registered with epoll again
 
 
 class ResilientReactor(epollreactor.EPollReactor):
