--- a/honeybarrow/log_timeline.py
+++ b/honeybarrow/log_timeline.py
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogTimeline:
-    """Converts monotonic readings of this process to log time."""
+    """A mapping from monotonic readings of this process to log time."""
 
     offset_us: int  # log time minus monotonic time
     start: TimelineStart
--- a/honeybarrow/message_guard.py
+++ b/honeybarrow/message_guard.py
@@ -25,7 +25,7 @@
 from honeybarrow.settings import Idempotency, MessageClass, Settings
 
 STALL_MARGIN_DIVISOR = 8  # the margin is at most 1/8 of a deadline or key window
-MAX_SHUTDOWN_US = 3_500_000  # from SIGTERM to the exit of the process
+MAX_SHUTDOWN_US = 3_500_000  # from SIGTERM to the exit of the process; SIGKILL follows shortly after
 SHUTDOWN_QUIET_US = 1_500_000  # final part of the shutdown, in which only idempotent attempts start
 
 
@@ -119,7 +119,7 @@
 
 
 class GuardViolationError(AssertionError):
-    """Raised for a violation if the guard is strict."""
+    """A violation, raised by a strict guard."""
 
 
 @dataclass(slots=True)
@@ -153,7 +153,7 @@
 
 
 class MessageGuard:
-    """Tracks open messages and endpoints, and decides which steps are allowed.
+    """Tracker of open messages and endpoints that decides which steps are allowed.
 
     ``on_violation`` is called with each violation; a strict guard also raises :exc:`GuardViolationError`.
     ``max_stall_us`` is the longest delay to expect between a decision and the write that follows it.
@@ -173,7 +173,7 @@
         self._order_key_pause_us = settings.ambiguous_key_rest_us
         self._messages: dict[str, _TrackedMessage] = {}
         self._endpoints: dict[str, _TrackedEndpoint] = {}
-        self._backoff_until_us: dict[str | int, int] = {}  # by scope
+        self._backoff_until_us: dict[str | int, int] = {}  # by endpoint scope
         self._order_queues: dict[int, OrderedDict[str, None]] = {}  # by order key, in order of acceptance
         self._order_key_paused_until_us: dict[int, int] = {}
 
@@ -246,7 +246,7 @@
             self._order_key_paused_until_us = pauses
 
     def on_retry_after(self, target: str, now_us: int, retry_after_us: int) -> None:
-        """Record the Retry-After of an endpoint."""
+        """Record a Retry-After that an endpoint has sent."""
         endpoint = self._endpoints.get(target)
         if endpoint is None or retry_after_us <= 0:
             return
--- a/honeybarrow/tcp_transports.py
+++ b/honeybarrow/tcp_transports.py
@@ -44,10 +44,10 @@
 def is_local_connect_failure(reason: Any) -> bool:
     """Return whether the ``Failure`` of a connect has a local cause rather than one at the peer."""
     value = reason.value
-    number = getattr(value, "osError", None)
+    error_number = getattr(value, "osError", None)
     if isinstance(value, error.ConnectBindError):  # Twisted raises it if socket(2) or bind(2) fails
         return True
-    return number in _LOCAL_CONNECT_ERRNOS
+    return error_number in _LOCAL_CONNECT_ERRNOS
 
 
 def _watch(reactor: Any, start: Callable[[], object], retry: Callable[[], object]) -> None:
--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -101,7 +101,7 @@
 
 
 class ProcessKilledError(BaseException):
-    """Simulates a kill of the process at the point where it is raised."""
+    """A simulated kill of the process at the point where it is raised."""
 
 
 class Rig:
--- a/tests/guard_search.py
+++ b/tests/guard_search.py
@@ -26,7 +26,7 @@
 
 
 class RuleBrokenError(Exception):
-    """The guard allowed a step that breaks a rule."""
+    """A step allowed by the guard that breaks a rule."""
 
 
 @dataclass
