--- a/honeybarrow/message_guard.py
+++ b/honeybarrow/message_guard.py
@@ -67,7 +67,7 @@
 
 _UNKNOWN_START_US = -(1 << 62)  # start time of an attempt that was never reported as started
 _UNKNOWN_CLASS = MessageClass("", 0, 0)  # placeholder for a class that may no longer be in the settings
-RULE_OF_REFUSAL = {
+RULE_BY_REFUSAL = {
     Refusal.UNKNOWN: Rule.LOST,
     Refusal.NOT_RECORDED: Rule.LOST,
     Refusal.NOT_ACKNOWLEDGED: Rule.LOST,
@@ -439,7 +439,7 @@
         return None
 
     def _report(self, refusal: Refusal, question: str, message: str) -> Refusal:
-        rule, tracked = RULE_OF_REFUSAL[refusal], self._messages.get(message)
+        rule, tracked = RULE_BY_REFUSAL[refusal], self._messages.get(message)
         self.violation_counts[rule] = self.violation_counts.get(rule, 0) + 1
         violation = Violation(rule, refusal, question, message, tracked.state if tracked else None)
         self._on_violation(violation)
