--- a/honeybarrow/fleet/call_evidence.py
+++ b/honeybarrow/fleet/call_evidence.py
@@ -1,10 +1,12 @@
-"""How this member's calls into each zone ended, in a window of buckets. No I/O, no clock.
+"""Results of this member's calls into each zone, in a sliding window of buckets.
 
-What counts is when a call was sent, not when it ended: refusals come at once and time-outs late, and by the
-times of their ends the one would hide the other. A pending call is no failure yet. Rejected for want of
-capacity is an answer; a client that gave up, and a call that was never sent, say nothing.
+A call counts in the bucket in which it was sent, not the one in which it ended: errors arrive at once and
+time-outs late, so that buckets by time of end would mix results of different periods. A pending call is not a
+failure until it is late. A rejection by the partner is a success, because the partner answered. Calls that
+were refused for lack of capacity, cancelled by the client or never sent are ignored.
 
-Times are microseconds of the caller's monotone clock. Between members go ages, never times.
+This module does no I/O and reads no clock. Times are microseconds of the caller's monotonic clock; reports to
+other members carry ages instead.
 """
 
 from __future__ import annotations
@@ -20,7 +22,7 @@
 
 
 class OutcomeClass(enum.Enum):
-    """What the status of a call says of the zone."""
+    """What the status of a call shows about the zone."""
 
     SUCCESS = "success"
     FAILURE = "failure"
@@ -29,7 +31,7 @@
 
 OUTCOME_CLASSES = {
     AttemptStatus.OK: OutcomeClass.SUCCESS,
-    AttemptStatus.REJECTED: OutcomeClass.SUCCESS,  # it concerns the message; the partner answers
+    AttemptStatus.REJECTED: OutcomeClass.SUCCESS,  # the partner answered, and refused this message
     AttemptStatus.ERROR: OutcomeClass.FAILURE,
     AttemptStatus.TIMEOUT: OutcomeClass.FAILURE,
     AttemptStatus.RESET: OutcomeClass.FAILURE,
@@ -42,7 +44,7 @@
 
 @dataclass(slots=True)
 class CallTally:
-    """Numbers of calls by how they ended."""
+    """Numbers of calls by result."""
 
     successes: int = 0
     failures: int = 0
@@ -58,31 +60,32 @@
 
 @dataclass(slots=True)
 class _Bucket:
-    """Calls that were sent in one interval; ``number`` counts intervals since the clock's zero."""
+    """Results of the calls that were sent in one interval of ``bucket_us``."""
 
-    number: int
+    number: int  # intervals since the clock's zero
     tallies: dict[tuple[str, int], CallTally] = field(default_factory=dict)  # by zone and destination
 
 
 class CallEvidence:
-    """What this member's own calls have met. Feed it calls as they start and end."""
+    """Recorder of this member's own calls, which the caller reports as they start and end."""
 
     def __init__(self, config: EvidenceConfig | None = None) -> None:
         self.config = config or EvidenceConfig()
-        self.dropped_count = 0
+        self.dropped_count = 0  # calls not recorded because a table was full
         self._pending: dict[tuple[str, int], _PendingCall] = {}
-        self._latency_us: dict[tuple[str, int], float] = {}  # of successful calls, by zone and destination
-        self._buckets: deque[_Bucket] = deque()  # the oldest first
+        # Smoothed latency of successful calls, by zone and destination.
+        self._average_latency_us: dict[tuple[str, int], float] = {}
+        self._buckets: deque[_Bucket] = deque()  # oldest first
 
     def record_call_started(self, now: int, call_id: tuple[str, int], zone: str, destination: int) -> None:
-        """Take in that a call was sent; ``call_id``: its message and attempt number."""
+        """Record that a call was sent; ``call_id`` is its message and attempt number."""
         if len(self._pending) >= self.config.max_pending_calls:
             self.dropped_count += 1
             return
         self._pending[call_id] = _PendingCall(now, zone, destination)
 
     def record_call_ended(self, now: int, call_id: tuple[str, int], status: AttemptStatus) -> None:
-        """Take in how a call ended."""
+        """Record the result of a call."""
         call = self._pending.pop(call_id, None)
         outcome = OUTCOME_CLASSES[status]
         if call is None or outcome is OutcomeClass.IGNORED:
@@ -91,7 +94,7 @@
         has_failed = outcome is OutcomeClass.FAILURE or self._is_late(now, call)
         if outcome is OutcomeClass.SUCCESS:
             self._update_latency(now - call.sent_us, call)
-        tally = self._find_tally(now, call)
+        tally = self._get_or_create_tally(now, call)
         if tally is None:
             return
         if has_failed:
@@ -100,12 +103,12 @@
             tally.successes += 1
 
     def clear(self) -> None:
-        """Forget all calls: this process had no time to run, they were late by its own fault."""
+        """Discard all calls, which are late through this process's own fault after it was paused."""
         self._pending.clear()
         self._buckets.clear()
 
     def find_failing_zones(self, now: int) -> list[str]:
-        """Return the zones with failures in the window; none if :meth:`is_credible` says no."""
+        """Return the zones with failures in the window, or none unless :meth:`is_credible`."""
         self._drop_expired(now)
         zones = {
             zone: None
@@ -117,35 +120,35 @@
         return list(zones) if self.is_credible(now) else []
 
     def is_credible(self, now: int) -> bool:
-        """Return whether the fault may lie elsewhere.
+        """Return whether failures may have their cause outside of this member.
 
-        A member whose calls to all zones fail is itself the likely cause.
+        If calls to two or more zones were made and no zone had a success, this member is the likely cause.
         """
         self._drop_expired(now)
-        is_served: dict[str, bool] = {}
+        zone_has_success: dict[str, bool] = {}
         for bucket in self._buckets:
             for (zone, _), tally in bucket.tallies.items():
-                is_served[zone] = is_served.get(zone, False) or tally.successes > 0
+                zone_has_success[zone] = zone_has_success.get(zone, False) or tally.successes > 0
         for call in self._pending.values():
             if self._is_late(now, call):
-                is_served.setdefault(call.zone, False)
-        return len(is_served) < 2 or any(is_served.values())
+                zone_has_success.setdefault(call.zone, False)
+        return len(zone_has_success) < 2 or any(zone_has_success.values())
 
     def get_cells(self, now: int, path: str) -> tuple[EvidenceCell, ...]:
-        """Return the calls into a zone or region; the newest where there are too many for a report."""
+        """Return the results of calls into a zone or region: the newest ``max_cells`` cells."""
         self._drop_expired(now)
-        this = now // self.config.bucket_us
+        current_number = now // self.config.bucket_us
         found: dict[tuple[int, str, int], CallTally] = {}
         for bucket in self._buckets:
             for (zone, destination), tally in bucket.tallies.items():
                 if is_within(zone, path):
-                    key = (this - bucket.number, zone, destination)
+                    key = (current_number - bucket.number, zone, destination)
                     found[key] = CallTally(tally.successes, tally.failures)
         for call in self._pending.values():
-            age = this - call.sent_us // self.config.bucket_us
-            if is_within(call.zone, path) and age < self.config.buckets:
+            age = current_number - call.sent_us // self.config.bucket_us
+            if is_within(call.zone, path) and age < self.config.bucket_count:
                 row = found.setdefault((age, call.zone, call.destination), CallTally())
-                # Danger: a silent zone shows itself by time-outs, seconds late; meanwhile all still call it.
+                # Late calls count before they time out, so that an unresponsive zone is detected sooner.
                 if self._is_late(now, call):
                     row.failures += 1
                 else:
@@ -157,7 +160,7 @@
         )
 
     def count_calls_by_destination(self, now: int) -> dict[int, int]:
-        """Return the calls in the window by destination, in all zones."""
+        """Return the number of calls in the window by destination, over all zones."""
         self._drop_expired(now)
         found: dict[int, int] = {}
         for bucket in self._buckets:
@@ -169,41 +172,41 @@
         return found
 
     def count_other_zones(self, now: int, path: str) -> tuple[BucketResults, ...]:
-        """Return the results of the calls to all zones outside of ``path``, by bucket, the newest first."""
+        """Return the results of calls to all zones outside of ``path``, one item per bucket, newest first."""
         self._drop_expired(now)
-        this = now // self.config.bucket_us
-        found = [BucketResults(0, 0)] * self.config.buckets
+        current_number = now // self.config.bucket_us
+        found = [BucketResults(0, 0)] * self.config.bucket_count
         for bucket in self._buckets:
             others = [tally for (zone, _), tally in bucket.tallies.items() if not is_within(zone, path)]
-            if this >= bucket.number:
-                found[this - bucket.number] = BucketResults(
+            if current_number >= bucket.number:
+                found[current_number - bucket.number] = BucketResults(
                     sum(tally.successes for tally in others), sum(tally.failures for tally in others)
                 )
         return tuple(found)
 
     def _is_late(self, now: int, call: _PendingCall) -> bool:
-        """Return whether a call has taken far longer than calls there do."""
-        usual_us = self._latency_us.get((call.zone, call.destination))
+        """Return whether a call has taken far longer than is usual for its zone and destination."""
+        average_us = self._average_latency_us.get((call.zone, call.destination))
         config = self.config
-        if usual_us is None:
+        if average_us is None:
             return False
-        return now - call.sent_us > max(config.min_late_us, config.late_factor * usual_us)
+        return now - call.sent_us > max(config.min_late_us, config.late_factor * average_us)
 
-    def _update_latency(self, took_us: int, call: _PendingCall) -> None:
+    def _update_latency(self, latency_us: int, call: _PendingCall) -> None:
         key = (call.zone, call.destination)
-        usual_us = self._latency_us.get(key)
-        if usual_us is None:
-            if len(self._latency_us) < self.config.max_keys:
-                self._latency_us[key] = float(took_us)
+        average_us = self._average_latency_us.get(key)
+        if average_us is None:
+            if len(self._average_latency_us) < self.config.max_keys:
+                self._average_latency_us[key] = float(latency_us)
             return
-        # Danger: a zone that is slow for good has to become usual some time, but not by one bad second.
-        sample_us = min(float(took_us), 2 * usual_us)
-        self._latency_us[key] += self.config.latency_smoothing * (sample_us - usual_us)
+        # The cap keeps a short slow period from raising the average much; a lasting one still raises it.
+        sample_us = min(float(latency_us), 2 * average_us)
+        self._average_latency_us[key] += self.config.latency_smoothing * (sample_us - average_us)
 
-    def _find_tally(self, now: int, call: _PendingCall) -> CallTally | None:
-        """Return where a call counts; ``None`` if it was sent before the window or there is no capacity."""
+    def _get_or_create_tally(self, now: int, call: _PendingCall) -> CallTally | None:
+        """Return the tally of a call, or ``None`` if it was sent before the window or the bucket is full."""
         number = call.sent_us // self.config.bucket_us
-        if number <= now // self.config.bucket_us - self.config.buckets:
+        if number <= now // self.config.bucket_us - self.config.bucket_count:
             return None
         position = len(self._buckets)
         while position and self._buckets[position - 1].number > number:
@@ -219,6 +222,6 @@
         return tallies.setdefault(key, CallTally())
 
     def _drop_expired(self, now: int) -> None:
-        oldest = now // self.config.bucket_us - self.config.buckets
+        oldest = now // self.config.bucket_us - self.config.bucket_count
         while self._buckets and self._buckets[0].number <= oldest:
             self._buckets.popleft()
--- a/honeybarrow/fleet/zone_aggregator.py
+++ b/honeybarrow/fleet/zone_aggregator.py
@@ -1,8 +1,10 @@
-"""Collects evidence on zones, as one of the few members that do: reports, and rounds of requests to all.
+"""Collection of evidence on zones by an aggregator: unsolicited reports and rounds of requests.
 
-A member whose calls fail reports to the aggregators. The first of them to which a zone looks failed asks
-all members, since those without failures were silent so far; the others wait in turn, so that one that dies
-in the act costs a while. No I/O, no clock.
+A member whose calls fail sends a report to each aggregator. When the reports suggest that a zone fails, an
+aggregator starts a round: it requests evidence from all live members, because members without failures have
+not reported. Aggregators start in a staggered order, so the next one takes over if the first one dies.
+
+This module does no I/O and reads no clock. Times are microseconds of the caller's monotonic clock.
 """
 
 from __future__ import annotations
@@ -27,24 +29,24 @@
 
 @dataclass(slots=True)
 class EvidenceRound:
-    """A request to all members that is out."""
+    """A pending request for evidence, sent to all live members."""
 
     request_id: int
     started_us: int
-    answers: dict[str, ReceivedReport] = field(default_factory=dict)  # by member
-    requested_us: dict[str, int] = field(default_factory=dict)  # by member: when it was asked last
+    answers: dict[str, ReceivedReport] = field(default_factory=dict)  # by member name
+    requested_us: dict[str, int] = field(default_factory=dict)  # by member name, time of the last request
 
 
 @dataclass(frozen=True, slots=True)
 class _RoundBackoff:
-    """Rounds on a path that led to no verdict, and when the next may begin."""
+    """Number of undecided rounds on a path, and the earliest time of the next round."""
 
-    rounds: int = 0
+    undecided_rounds: int = 0
     until_us: int = 0
 
 
 class EvidenceAggregator:
-    """Reports by path and member, and the round on each path, if there is one."""
+    """Reports of members on each path, and the pending round on each path."""
 
     def __init__(
         self,
@@ -60,42 +62,44 @@
         self.quorum, self.catalog, self.state = quorum, catalog, state
         self.reporter, self.decider, self.actions = reporter, decider, actions
         self.config, self.window_us = config, window_us
-        self.dropped_count = 0  # reports that were rejected
+        self.dropped_count = 0  # rejected reports
         self.rounds: dict[str, EvidenceRound] = {}  # by path
         self._reports: dict[str, dict[str, ReceivedReport]] = {}  # by path and member
-        self._latest: dict[str, tuple[int, int]] = {}  # by member: incarnation, sequence of its last report
-        self._suspected_us: dict[str, int] = {}  # by path: when it first looked failed here
+        self._last_sequences: dict[str, tuple[int, int]] = {}  # by member name: (incarnation, sequence)
+        self._first_suspected_us: dict[str, int] = {}  # by path
         self._backoffs: dict[str, _RoundBackoff] = {}  # by path
         self._request_count = 0
 
     def clear(self) -> None:
-        """Forget all reports and rounds: this process stood still, and they are old."""
+        """Discard all reports and rounds, which are stale after this process was paused."""
         self.rounds.clear()
         self._reports.clear()
 
     def forget_path(self, path: str) -> None:
-        """Forget what led to a verdict on a path, now that there is one."""
+        """Discard the reports and the round on a path that has a new verdict."""
         self._reports.pop(path, None)
-        self._suspected_us.pop(path, None)
+        self._first_suspected_us.pop(path, None)
         self.rounds.pop(path, None)
 
-    def forget_strangers(self) -> None:
-        """Forget the sequences of members that the quorum does not remember."""
-        self._latest = {name: last for name, last in self._latest.items() if self.quorum.has_seen(name)}
+    def forget_unknown_members(self) -> None:
+        """Discard the report sequences of members that the quorum has not seen."""
+        self._last_sequences = {
+            name: sequence for name, sequence in self._last_sequences.items() if self.quorum.has_seen(name)
+        }
 
     def receive_report(self, now: int, sender: str, report: EvidenceReport) -> None:
-        """Take in a member's report, or reject it if it is old or on an unknown path."""
-        # Danger: a report of an older incarnation, or one that came late, would undo a later one.
-        is_old = (report.incarnation, report.sequence) <= self._latest.get(sender, (0, 0))
-        if is_old or report.path not in self.catalog.paths or not self.quorum.is_member(sender):
+        """Store a member's report; drop it if it is outdated or its path or sender is unknown."""
+        # A delayed report, or one of an earlier incarnation, must not replace a later one.
+        is_outdated = (report.incarnation, report.sequence) <= self._last_sequences.get(sender, (0, 0))
+        if is_outdated or report.path not in self.catalog.paths or not self.quorum.is_member(sender):
             self.dropped_count += 1
             return
-        self._latest[sender] = (report.incarnation, report.sequence)
+        self._last_sequences[sender] = (report.incarnation, report.sequence)
         epoch = self.state.verdicts.get_epoch(report.path)
-        if report.held_epoch < epoch:
+        if report.verdict_epoch < epoch:
             self.actions.send(sender, self.state.create_sync(now))
-        elif report.held_epoch > epoch:
-            # The sender answers with what it holds.
+        elif report.verdict_epoch > epoch:
+            # The sender answers a differing digest with its verdicts.
             self.actions.send(sender, StateDigest(self.state.compute_digest(), True))
         received = ReceivedReport(now, report)
         if not report.request_id:
@@ -106,7 +110,7 @@
             round_.answers[sender] = received
 
     def start_due_rounds(self, now: int) -> None:
-        """Ask all members about each zone that looks failed, or looks well to those that probed it."""
+        """Start a round on each path that the reports show as failing or, if ejected, as recovered."""
         self._drop_expired_reports(now)
         if not self.quorum.has_joined:
             return
@@ -115,16 +119,18 @@
         for path in self.catalog.paths:
             if path in self.rounds or path not in self._reports:
                 continue
-            if own_name not in aggregators or not self.decider.should_collect(now, path, self._reports[path]):
-                self._suspected_us.pop(path, None)
+            if own_name not in aggregators or not self.decider.should_request_evidence(
+                now, path, self._reports[path]
+            ):
+                self._first_suspected_us.pop(path, None)
                 continue
-            suspected_us = self._suspected_us.setdefault(path, now)
+            suspected_us = self._first_suspected_us.setdefault(path, now)
             stagger_us = aggregators.index(own_name) * self.config.aggregator_stagger_us
             if now >= max(suspected_us + stagger_us, self._backoffs.get(path, _RoundBackoff()).until_us):
                 self._start_round(now, path)
 
     def advance_round(self, now: int, path: str) -> ZoneVerdict | None:
-        """Decide on a path by the answers so far; if they don't suffice, ask again or give the round up."""
+        """Return a verdict if the answers suffice; otherwise repeat requests or end the round."""
         round_ = self.rounds[path]
         verdict = self.decider.decide(now, path, round_.answers)
         if verdict is not None:
@@ -143,11 +149,11 @@
 
     def _drop_expired_reports(self, now: int) -> None:
         for path, reports in list(self._reports.items()):
-            for name in [n for n, each in reports.items() if each.received_us < now - self.window_us]:
+            for name in [name for name, each in reports.items() if each.received_us < now - self.window_us]:
                 del reports[name]
             if not reports:
                 del self._reports[path]
-                self._suspected_us.pop(path, None)
+                self._first_suspected_us.pop(path, None)
 
     def _start_round(self, now: int, path: str) -> None:
         self._request_count += 1
@@ -155,15 +161,15 @@
         round_ = self.rounds[path] = EvidenceRound(self._request_count, now)
         report = self.reporter.create_report(now, path, round_.request_id)
         round_.answers[own_name] = ReceivedReport(now, report)
-        for name in self.quorum.list_living():
+        for name in self.quorum.list_live_members():
             if name != own_name:
                 round_.requested_us[name] = now
                 self.actions.send(name, EvidenceRequest(path, round_.request_id))
         self.actions.log("zone_evidence_requested", path, members=len(round_.requested_us) + 1)
 
-    def _end_round(self, now: int, path: str, round_: EvidenceRound, missing: int) -> None:
+    def _end_round(self, now: int, path: str, round_: EvidenceRound, missing_answers: int) -> None:
         del self.rounds[path]
-        rounds = self._backoffs.get(path, _RoundBackoff()).rounds + 1
-        until_us = now + self.config.round_backoff_us * min(rounds, 4)
-        self._backoffs[path] = _RoundBackoff(rounds, until_us)
-        self.actions.log("zone_undecided", path, answers=len(round_.answers), missing=missing)
+        undecided_rounds = self._backoffs.get(path, _RoundBackoff()).undecided_rounds + 1
+        until_us = now + self.config.round_backoff_us * min(undecided_rounds, 4)
+        self._backoffs[path] = _RoundBackoff(undecided_rounds, until_us)
+        self.actions.log("zone_undecided", path, answers=len(round_.answers), missing=missing_answers)
--- a/honeybarrow/fleet/zone_coordinator.py
+++ b/honeybarrow/fleet/zone_coordinator.py
@@ -1,17 +1,19 @@
-"""One member's part in deciding which zones the fleet avoids. No I/O, no clock.
-
-Members report what their calls met to a few *aggregators*, found by rendezvous hashing. An aggregator to
-which a zone looks failed asks all members what they saw; with answers from a majority of the known ones it
-decides, and tells all. So a verdict rests on calls, and no member takes another's judgement for one. Each
-verdict on a zone has an epoch: odd ones eject it, even ones restore it, so two verdicts of one epoch never
-say different things.
-
-For whom it holds: all members, but those in zones that saw it serve; or only members of one zone, if the
-network path from there fails. After an ejection, a few members probe the zone now and then; once they are
-served, members return in an order that all compute alike, no faster than a warming destination bears.
-
-Weighed against that, in docs/fleet.md: votes without a leader, one coordinator, evidence and a pure function.
-Times are microseconds of the caller's monotone clock; between members go ages and remaining times only.
+"""One member's part in deciding which zones the fleet avoids.
+
+Members report failed calls to a few *aggregators*, which all members select alike by rendezvous hashing. An
+aggregator whose reports suggest that a zone fails requests evidence from all members. With answers from a
+majority of the known members it makes a verdict and broadcasts it. A verdict therefore rests on the results
+of calls, never on another member's conclusion. Verdicts on a zone are numbered by epoch: odd epochs eject
+the zone, even epochs restore it, so two verdicts of the same epoch never contradict each other.
+
+A verdict applies to all members except those of zones that can still reach the ejected zone. If only the
+network path from one zone fails, the verdict applies to the members of that zone alone. After an ejection, a
+few members probe the zone at growing intervals. Once probes succeed, members return in an order that all of
+them compute alike, no faster than a warming destination can bear.
+
+docs/fleet.md compares this design with voting without a leader, a single coordinator, and a pure function of
+shared evidence. This module does no I/O and reads no clock. Times are microseconds of the caller's monotonic
+clock; messages between members carry ages and remaining times only.
 """
 
 from __future__ import annotations
@@ -48,14 +50,16 @@
 from honeybarrow.fleet.zone_verdict_table import MergeResult, VerdictTable
 from honeybarrow.fleet.zone_view import ZoneStatus, ZoneUsage, ZoneView
 
-NEVER = 1 << 62
-MAX_LATE_TICKS = 5  # a process that is woken later than this stood still
+NEVER = 1 << 62  # due time before the start, microseconds
+MAX_LATE_TICKS = 5  # a process that wakes later than this was paused
 
 
 class ZoneCoordinator:
-    """Feed it messages, lists and time, carry out its actions, wake it at ``due_us``.
+    """State machine of zone ejection at one member.
 
-    It holds no decisions of its own: it passes each event to the parts, in order, and applies new verdicts.
+    The caller passes in messages, endpoint lists and the time, carries out the returned actions and calls
+    :meth:`wake` at ``due_us``. The coordinator dispatches each event to its components and applies new
+    verdicts. ``uses_weights`` tells whether listed endpoint weights are capacities in calls per second.
     """
 
     def __init__(
@@ -95,35 +99,36 @@
     # --- events
 
     def start(self, now: int, saved: VerdictSync | None = None) -> list[Action]:
-        """Begin, with what an earlier incarnation held: ages are unknown then, so all of it counts from now.
+        """Start with the saved state of an earlier incarnation, if any, and return the first actions.
 
-        A verdict that was replaced meanwhile is replaced here as soon as another member is heard; one that
-        all have forgotten ends by its probes.
+        The time between saving and loading is unknown, so it does not count towards ages. A verdict that was
+        replaced meanwhile is replaced here by the first message of another member. A verdict that no other
+        member holds any more ends through its probes.
         """
         self.due_us = now + int(self.config.tick_us * self.rng.random())
         self._next_digest_us = now
         if saved is not None:
             self._merge(now, "", saved)
-        for name in self.quorum.list_named_peers()[: self.config.aggregators]:
+        for name in self.quorum.list_configured_peers()[: self.config.aggregator_count]:
             self._actions.send(name, StateDigest(self.compute_digest()))
         return self._actions.drain()
 
     def update_endpoints(self, endpoints: Iterable[Endpoint]) -> None:
-        """Take in the register's whole list, as it stands now."""
+        """Replace the endpoint list by the register's current one."""
         self.catalog.update(endpoints)
 
     def wake(self, now: int) -> list[Action]:
-        """Report, collect, decide, probe and return, as the time has come."""
+        """Do all work that is due and return the resulting actions; return nothing before ``due_us``."""
         if now < self.due_us:
             return []
         if now - self.due_us > MAX_LATE_TICKS * self.config.tick_us:
-            # Danger: this process stood still. Its calls ran out by its own fault, and what lies unread in
-            # its sockets is old; judged by these, a zone that serves would look dead.
+            # The process was paused, so its calls timed out through its own fault and its unread messages
+            # are stale. This evidence would make a healthy zone look failed.
             self.evidence.clear()
             self.aggregator.clear()
         self.due_us = now + self.config.tick_us
         self.quorum.observe_members()
-        self.aggregator.forget_strangers()
+        self.aggregator.forget_unknown_members()
         self._expire_overrides(now)
         for recovery in self.state.verdicts.list_ejected():
             recovery.advance_probe(now, self.config)
@@ -133,13 +138,13 @@
             verdict = self.aggregator.advance_round(now, path)
             if verdict is not None:
                 self._publish(now, verdict)
-        self._send_digest(now)
+        self._send_digest_if_due(now)
         if not self.state.is_empty:
             self._actions.notify_usage_changed()
         return self._actions.drain()
 
     def handle_message(self, now: int, sender: str, message: Message) -> list[Action]:
-        """Take in a message from a member."""
+        """Handle a member's message and return the resulting actions."""
         match message:
             case EvidenceReport():
                 self.aggregator.receive_report(now, sender, message)
@@ -155,14 +160,15 @@
         return self._actions.drain()
 
     def merge_sync(self, now: int, sync: VerdictSync) -> list[Action]:
-        """Take in the other side of a push-pull exchange."""
+        """Merge the state that a peer sent in a push-pull exchange, and return the resulting actions."""
         self._merge(now, "", sync)
         return self._actions.drain()
 
     def set_override(self, now: int, path: str, eject: bool | None, duration_us: int) -> list[Action]:
-        """Set an operator's override; ``None`` withdraws it.
+        """Set an operator's override of a path for ``duration_us``, and return the resulting actions.
 
-        Raises :class:`InvalidValueError` for a path that is not listed or a duration out of range.
+        ``eject`` tells whether the path is avoided or used; ``None`` withdraws an earlier override. Raises
+        :class:`InvalidValueError` for a path that is not listed or a duration out of range.
         """
         if path not in self.catalog.paths:
             raise InvalidValueError(f"the register lists no zone or region {path!r}")
@@ -171,54 +177,54 @@
         self._broadcast(VerdictSync((), (TimedOverride(override, duration_us),)))
         return self._actions.drain()
 
-    # --- what holds
+    # --- queries
 
     def get_usage(self, now: int, zone: str, destination: int) -> ZoneUsage:
         """Return how this member uses a destination's endpoints in a zone."""
         return self.view.get_usage(now, zone, destination)
 
     def get_status(self, now: int, path: str, source_zone: str = "") -> ZoneStatus:
-        """Return the status of a zone, as this member knows."""
+        """Return the status of a path, for all members or for those of ``source_zone``."""
         is_assessed = path in self.aggregator.rounds and not source_zone
         return self.view.get_status(now, path, source_zone, is_assessed)
 
     def get_override(self, now: int, path: str) -> OperatorOverride | None:
-        """Return the operator's override of a path that holds now."""
+        """Return the operator's override of a path that is in force now, if any."""
         return self.state.overrides.find_active(now, path)
 
     def get_override_remaining_us(self, now: int, path: str) -> int:
-        """Return how long the override of a path still holds; 0 without one."""
+        """Return the remaining time of a path's override in microseconds; 0 without an override."""
         return self.state.overrides.get_remaining_us(now, path)
 
     def create_sync(self, now: int) -> VerdictSync:
-        """Return all that is held for another member, the latest first where there is too much."""
+        """Return the verdicts and overrides to send to another member, up to ``max_sync_entries`` of each."""
         return self.state.create_sync(now)
 
     def compute_digest(self) -> int:
-        """Return a hash over all that is held."""
+        """Return a hash of all verdicts and overrides."""
         return self.state.compute_digest()
 
     @property
     def recoveries(self) -> dict[tuple[str, str], ZoneRecovery]:
-        """The verdicts that are held, by path and source zone."""
+        """The current verdicts and their recoveries, by path and source zone."""
         return self.state.verdicts.recoveries
 
     @property
     def paths(self) -> list[str]:
-        """Zones and regions that are listed."""
+        """The listed zones and regions."""
         return list(self.catalog.paths)
 
     @property
     def is_probing(self) -> bool:
-        """Whether this member may be probing a zone now: its next call may end that."""
+        """Whether this member may be probing a zone, so that each call may change the zone's usage."""
         return self.prober.is_active
 
     @property
     def dropped_count(self) -> int:
-        """Reports and verdicts that were rejected."""
+        """Number of rejected reports and verdicts."""
         return self._dropped_verdicts + self.aggregator.dropped_count
 
-    # --- steps
+    # --- internals
 
     def _report_evidence(self, now: int) -> None:
         paths = self.reporter.list_paths(now)
@@ -231,16 +237,16 @@
                 else:
                     self._actions.send(name, report)
 
-    def _send_digest(self, now: int) -> None:
+    def _send_digest_if_due(self, now: int) -> None:
         if now < self._next_digest_us:
             return
         self._next_digest_us = now + int(self.config.digest_interval_us * self.rng.uniform(0.8, 1.2))
-        others = [name for name in self.quorum.list_living() if name != self.quorum.own_name]
+        others = [name for name in self.quorum.list_live_members() if name != self.quorum.own_name]
         if others:
             self._actions.send(self.rng.choice(others), StateDigest(self.compute_digest()))
 
     def _broadcast(self, message: Message) -> None:
-        for name in self.quorum.list_living():
+        for name in self.quorum.list_live_members():
             self._actions.send(name, message)
 
     def _merge(self, now: int, sender: str, sync: VerdictSync) -> None:
--- a/honeybarrow/fleet/zone_messages.py
+++ b/honeybarrow/fleet/zone_messages.py
@@ -1,8 +1,8 @@
-"""What members of a fleet tell each other about zones, and the actions that result at one member.
+"""Messages between members about zones, and the actions that a member carries out.
 
-The structs travel as msgpack arrays: the order of their fields and the ``tag`` numbers are the wire format,
-the names are not. The saved verdicts are a :class:`VerdictSync` as JSON. Ages and remaining times travel,
-never times of a clock.
+The structs are encoded as msgpack arrays: the order of their fields and the ``tag`` numbers are part of the
+wire format, the names are not. Saved verdicts are a :class:`VerdictSync` encoded as JSON. Messages carry ages
+and remaining times, never clock times.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from honeybarrow.fleet.membership_messages import MemberName, WireInteger, ZonePath
 from honeybarrow.fleet.zone_paths import is_within
 
-CallCount = Annotated[int, Meta(ge=0, le=1_000_000)]  # in one window of one member
+CallCount = Annotated[int, Meta(ge=0, le=1_000_000)]  # calls of one member in one bucket
 
 
 # --- parts of messages
 
 
 class EvidenceCell(msgspec.Struct, frozen=True, array_like=True):
-    """How one member's calls to one destination in one zone ended, of those sent ``age`` buckets ago."""
+    """Results of one member's calls to one destination in one zone, sent ``age`` buckets ago."""
 
     age: Annotated[int, Meta(ge=0, le=1000)]
     zone: ZonePath
@@ -34,33 +34,35 @@
 
 
 class DestinationLoad(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """Calls of one member to a destination in the evidence window, in all zones."""
+    """Number of one member's calls to a destination in the evidence window, over all zones."""
 
     destination: WireInteger
     calls: WireInteger
 
 
 class BucketResults(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """How one member's calls of one bucket to all other zones ended."""
+    """Results of one member's calls in one bucket to all zones outside of the reported path."""
 
     successes: WireInteger
     failures: WireInteger
 
 
 class PartialEjection(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """A destination whose endpoints elsewhere can't bear its load: so many of a thousand members avoid it."""
+    """A destination that lacks capacity elsewhere, and how many of 1000 members avoid the zone for it."""
 
     destination: WireInteger
     per_mille: WireInteger
 
 
 class ZoneVerdict(msgspec.Struct, frozen=True, array_like=True):
-    """What the fleet has decided on a zone or region.
-
-    ``epoch`` numbers the verdicts on a path: odd ones eject it, even ones restore it. ``source_zone``: empty
-    if it holds for all members, or the zone to whose members alone it applies, as the network path from
-    there fails. ``spared_zones``: zones whose members were served. The last four fields tell what it rests
-    on: calls, members that answered, and members that belong to the deciding group.
+    """A decision of the fleet on a zone or region.
+
+    ``epoch`` numbers the verdicts on a path: odd epochs eject it, even epochs restore it. ``source_zone`` is
+    the zone to whose members alone the verdict applies, because the network path from there fails; it is
+    empty if the verdict applies to all members. ``spared_zones`` are zones whose members can still reach the
+    path. ``decided_by`` and ``incarnation`` name the member that made the verdict. ``relapses`` counts
+    successive ejections that followed soon after a return. The last four fields are the evidence: results of
+    calls, members that answered, and members that were entitled to answer.
     """
 
     path: ZonePath
@@ -78,27 +80,28 @@
 
     @property
     def is_ejected(self) -> bool:
-        """Whether the zone is to be avoided."""
+        """Whether the verdict ejects the path."""
         return self.epoch % 2 == 1
 
     @property
     def precedence(self) -> tuple[int, str, int]:
-        """Of two verdicts on the same path and source zone, the one with the greater precedence holds."""
+        """Sort key: of two verdicts on the same path and source zone, the greater one is in force."""
         return self.epoch, self.decided_by, self.incarnation
 
     def spares(self, zone: str) -> bool:
-        """Return whether members of ``zone`` go on as before, as they were served."""
+        """Return whether members of ``zone`` keep using the path, because they can still reach it."""
         return any(is_within(zone, each) for each in self.spared_zones)
 
     def applies_to(self, zone: str) -> bool:
-        """Return whether members of ``zone`` have to follow it."""
+        """Return whether members of ``zone`` have to follow the verdict."""
         return not self.spares(zone) and (not self.source_zone or zone == self.source_zone)
 
 
 class OperatorOverride(msgspec.Struct, frozen=True, array_like=True):
-    """An operator's decision on a zone; it goes before all verdicts until it expires.
+    """An operator's decision on a path, which takes precedence over all verdicts until it expires.
 
-    ``eject``: whether the zone is avoided or used; ``None`` withdraws an earlier override.
+    ``eject`` tells whether the path is avoided or used; ``None`` withdraws an earlier override. ``revision``
+    numbers the overrides of a path, and ``set_by`` names the member that created this one.
     """
 
     path: ZonePath
@@ -108,19 +111,19 @@
 
     @property
     def precedence(self) -> tuple[int, str]:
-        """Of two overrides of one path, the one with the greater precedence holds."""
+        """Sort key: of two overrides of the same path, the greater one is in force."""
         return self.revision, self.set_by
 
 
 class AgedVerdict(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """A verdict and how long ago it was decided, in microseconds."""
+    """A verdict and its age in microseconds."""
 
     verdict: ZoneVerdict
     age_us: WireInteger
 
 
 class TimedOverride(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """An override and how long it still holds, in microseconds."""
+    """An override and its remaining time in microseconds."""
 
     override: OperatorOverride
     remaining_us: WireInteger
@@ -130,11 +133,12 @@
 
 
 class EvidenceReport(msgspec.Struct, frozen=True, array_like=True, tag=11):
-    """What a member's calls into a zone met.
+    """Results of a member's calls into a zone or region.
 
-    ``sequence``: of its reports in this incarnation. ``other_zones``: results elsewhere, by bucket, the
-    newest first. ``request_id``: the request that it answers, or 0. ``held_epoch``: of the verdict that it
-    holds for all members, or 0.
+    ``sequence`` numbers the member's reports within its ``incarnation``. ``other_zones`` are the results
+    outside of ``path``, one item per bucket, newest first. ``request_id`` is the answered request, or 0 for
+    an unsolicited report. ``verdict_epoch`` is the epoch of the verdict on ``path`` for all members that the
+    reporter has, or 0 without one.
     """
 
     path: ZonePath
@@ -144,25 +148,29 @@
     loads: Annotated[tuple[DestinationLoad, ...], Meta(max_length=64)] = ()
     other_zones: Annotated[tuple[BucketResults, ...], Meta(max_length=64)] = ()
     request_id: WireInteger = 0
-    held_epoch: WireInteger = 0
+    verdict_epoch: WireInteger = 0
 
 
 class EvidenceRequest(msgspec.Struct, frozen=True, array_like=True, tag=12):
-    """Asks a member what its calls into a zone met."""
+    """Request for a report on a zone or region."""
 
     path: ZonePath
     request_id: WireInteger
 
 
 class VerdictSync(msgspec.Struct, frozen=True, array_like=True, tag=13):
-    """Verdicts and overrides that the sender holds."""
+    """Verdicts and overrides of the sender."""
 
     verdicts: Annotated[tuple[AgedVerdict, ...], Meta(max_length=64)] = ()
     overrides: Annotated[tuple[TimedOverride, ...], Meta(max_length=64)] = ()
 
 
 class StateDigest(msgspec.Struct, frozen=True, array_like=True, tag=14):
-    """A hash over all verdicts and overrides: whoever holds others sends them, and asks for these in turn."""
+    """A hash of the sender's verdicts and overrides.
+
+    A receiver whose hash differs answers with its verdicts and overrides. Unless ``is_reply`` is set, it also
+    sends its own digest, so that the sender does the same.
+    """
 
     value: int
     is_reply: bool = False
@@ -176,7 +184,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a message to a member; it may be lost."""
+    """Send a message to a member, without a guarantee of delivery."""
 
     recipient: str
     message: Message
@@ -184,12 +192,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneUsageChanged:
-    """What :meth:`ZoneCoordinator.get_usage` returns may have changed."""
+    """The results of :meth:`ZoneCoordinator.get_usage` may have changed."""
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneLogEvent:
-    """A change of state, for the log."""
+    """A log event on a zone or region."""
 
     event: str
     path: str
@@ -200,26 +208,26 @@
 
 
 class ActionQueue:
-    """Collects what is to be done, in order, until the coordinator hands it out."""
+    """Queue of actions, in order, that the coordinator returns to its caller."""
 
     def __init__(self, own_name: str) -> None:
         self.own_name = own_name
         self._actions: list[Action] = []
 
     def send(self, recipient: str, message: Message) -> None:
-        """Send to another member; what is addressed to this one is dropped."""
+        """Queue a message to another member; ignore a message to this member."""
         if recipient != self.own_name:
             self._actions.append(SendMessage(recipient, message))
 
     def log(self, event: str, path: str, **fields: str | int) -> None:
-        """Write to the log."""
+        """Queue a log event."""
         self._actions.append(ZoneLogEvent(event, path, tuple(fields.items())))
 
     def notify_usage_changed(self) -> None:
-        """Have the endpoint list looked at again."""
+        """Queue a notification that the usage of zones may have changed."""
         self._actions.append(ZoneUsageChanged())
 
     def drain(self) -> list[Action]:
-        """Return all actions and forget them."""
+        """Return all queued actions and empty the queue."""
         actions, self._actions = self._actions, []
         return actions
--- a/honeybarrow/fleet/zone_override.py
+++ b/honeybarrow/fleet/zone_override.py
@@ -1,4 +1,4 @@
-"""Operators' overrides of verdicts, as one member holds them. No I/O, no clock."""
+"""One member's table of operators' overrides. This module does no I/O and reads no clock."""
 
 from __future__ import annotations
 
@@ -11,70 +11,73 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldOverride:
-    """An override and till when it holds. Withdrawn ones are held too, lest earlier ones return."""
+class StoredOverride:
+    """An override and its time of expiry.
+
+    A withdrawn override is kept as well, so that an earlier one cannot replace it.
+    """
 
     override: OperatorOverride
-    expires_us: int
+    expires_us: int  # of the caller's monotonic clock
 
 
 class OverrideTable:
-    """Overrides by path."""
+    """The latest override of each path."""
 
     def __init__(self, config: ZoneConfig) -> None:
         self.config = config
-        self.held: dict[str, HeldOverride] = {}
+        self.entries: dict[str, StoredOverride] = {}
 
     def create(self, path: str, eject: bool | None, duration_us: int, set_by: str) -> OperatorOverride:
-        """Return the next override of a path.
+        """Return a new override that takes precedence over the current one of the path.
 
         Raises :class:`InvalidValueError` for a duration out of range.
         """
         if not 0 < duration_us <= self.config.max_override_us:
             raise InvalidValueError(
-                f"a hold lasts up to {self.config.max_override_us // SECOND} s, and not for ever"
+                f"override duration must be positive and up to {self.config.max_override_us // SECOND} s"
             )
-        before = self.held.get(path)
-        return OperatorOverride(path, eject, before.override.revision + 1 if before else 1, set_by)
+        entry = self.entries.get(path)
+        return OperatorOverride(path, eject, entry.override.revision + 1 if entry else 1, set_by)
 
     def compare(self, override: OperatorOverride, remaining_us: int) -> MergeResult:
-        """Return what a received override is beside the one that is held."""
-        held = self.held.get(override.path)
-        if held is not None and override.precedence <= held.override.precedence:
-            is_older = override.precedence < held.override.precedence
+        """Return how a received override relates to the current one of its path."""
+        entry = self.entries.get(override.path)
+        if entry is not None and override.precedence <= entry.override.precedence:
+            is_older = override.precedence < entry.override.precedence
             return MergeResult.OLDER if is_older else MergeResult.SAME
-        has_capacity = held is not None or len(self.held) < self.config.max_paths
+        has_capacity = entry is not None or len(self.entries) < self.config.max_paths
         is_valid = 0 < remaining_us <= self.config.max_override_us
         return MergeResult.NEWER if has_capacity and is_valid else MergeResult.REJECTED
 
     def store(self, now: int, override: OperatorOverride, remaining_us: int) -> None:
-        """Hold an override in place of what was held before."""
-        self.held[override.path] = HeldOverride(override, now + remaining_us)
+        """Replace the current override of a path; it expires in ``remaining_us``."""
+        self.entries[override.path] = StoredOverride(override, now + remaining_us)
 
     def expire(self, now: int) -> list[OperatorOverride]:
-        """Forget overrides whose time is over and return them."""
-        expired = [held.override for held in self.held.values() if held.expires_us <= now]
+        """Remove and return the overrides that have expired."""
+        expired = [entry.override for entry in self.entries.values() if entry.expires_us <= now]
         for override in expired:
-            del self.held[override.path]
+            del self.entries[override.path]
         return expired
 
     def find_active(self, now: int, path: str) -> OperatorOverride | None:
-        """Return the override of a path that holds now and is not withdrawn."""
-        held = self.held.get(path)
-        if held is None or held.expires_us <= now or held.override.eject is None:
+        """Return the override of a path, unless it has expired or is withdrawn."""
+        entry = self.entries.get(path)
+        if entry is None or entry.expires_us <= now or entry.override.eject is None:
             return None
-        return held.override
+        return entry.override
 
     def get_remaining_us(self, now: int, path: str) -> int:
-        """Return how long the override of a path still holds; 0 without one."""
-        held = self.held.get(path)
-        return max(0, held.expires_us - now) if held else 0
+        """Return the remaining time of a path's override in microseconds; 0 without an override."""
+        entry = self.entries.get(path)
+        return max(0, entry.expires_us - now) if entry else 0
 
-    def list_remaining(self, now: int) -> tuple[TimedOverride, ...]:
-        """Return what fits into a message."""
+    def list_timed_overrides(self, now: int) -> tuple[TimedOverride, ...]:
+        """Return up to ``max_sync_entries`` overrides, with their remaining times."""
         found = [
-            TimedOverride(held.override, held.expires_us - now)
-            for held in self.held.values()
-            if held.expires_us > now
+            TimedOverride(entry.override, entry.expires_us - now)
+            for entry in self.entries.values()
+            if entry.expires_us > now
         ]
         return tuple(found[: self.config.max_sync_entries])
--- a/honeybarrow/fleet/zone_quorum.py
+++ b/honeybarrow/fleet/zone_quorum.py
@@ -1,4 +1,4 @@
-"""Who decides on zones: which members count for a majority, and which collect the evidence. No I/O."""
+"""Selection of the members that count towards a majority and of the aggregators of evidence."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class FleetQuorum:
-    """The membership as zone decisions see it."""
+    """Members of the fleet, in the form that decisions on zones need."""
 
     def __init__(self, membership: Membership, config: ZoneConfig) -> None:
         self.membership, self.config = membership, config
-        self._seen: dict[str, None] = {}  # members that were ever heard of
+        self._seen_members: dict[str, None] = {}  # names, in the order of first sight
 
     @property
     def own_name(self) -> str:
@@ -22,7 +22,7 @@
 
     @property
     def own_zone(self) -> str:
-        """This member's zone; empty if it lies in none."""
+        """This member's zone; empty if it has none."""
         return self.membership.local_member.zone
 
     @property
@@ -32,61 +32,65 @@
 
     @property
     def has_joined(self) -> bool:
-        """Whether another member has sent its list."""
+        """Whether another member has sent its list of members."""
         return self.membership.has_joined
 
     def observe_members(self) -> None:
-        """Remember all members that are known now, up to the bound on members."""
+        """Record all members of the current list as seen, up to ``max_members``."""
         for update in self.membership.member_list():
-            if len(self._seen) < self.membership.config.max_members:
-                self._seen[update.name] = None
+            if len(self._seen_members) < self.membership.config.max_members:
+                self._seen_members[update.name] = None
 
     def has_seen(self, name: str) -> bool:
-        """Return whether a member was ever heard of."""
-        return name in self._seen
+        """Return whether a member was ever in the list of members."""
+        return name in self._seen_members
 
     def is_member(self, name: str) -> bool:
-        """Return whether a name is this member's or that of one in its list."""
+        """Return whether a name belongs to this member or to one in its list."""
         return name == self.own_name or name in self.membership.members
 
-    def list_named_peers(self) -> tuple[str, ...]:
+    def list_configured_peers(self) -> tuple[str, ...]:
         """Return the peers that the settings name, without this member."""
         return self.membership.peers
 
-    def list_living(self) -> list[str]:
-        """Return the members that live as far as is known, this one included."""
+    def list_live_members(self) -> list[str]:
+        """Return the names of the members believed alive, including this one."""
         return [update.name for update in self.membership.live_members()]
 
-    def map_living_to_zones(self) -> dict[str, str]:
-        """Return the zone of each living member."""
+    def map_live_members_to_zones(self) -> dict[str, str]:
+        """Return the zone of each member believed alive."""
         return {update.name: update.zone for update in self.membership.live_members()}
 
     def map_members_to_zones(self) -> dict[str, str]:
-        """Return the zone of each member of the fleet, in sight or not."""
+        """Return the zone of each known member, reachable or not."""
         return {update.name: update.zone for update in self.membership.known_members()}
 
     def list_voters(self, source_zone: str) -> list[str]:
-        """Return who decides: all that belong to the fleet, or to a zone of it, in sight or not."""
+        """Return the members of whom a majority has to answer, reachable or not.
+
+        These are all known members, or those of ``source_zone`` if it is not empty, and the configured peers
+        that were never seen.
+        """
         voters = {
             update.name: None
             for update in self.membership.known_members()
             if not source_zone or update.zone == source_zone
         }
-        # Danger: a member that has just started knows nobody, and would be a majority by itself.
-        voters.update((name, None) for name in self.membership.peers if name not in self._seen)
+        # Without these peers, a member that has just started and knows no other would be a majority alone.
+        voters.update((name, None) for name in self.membership.peers if name not in self._seen_members)
         return list(voters)
 
-    def list_zones_outside(self, path: str) -> list[str]:
-        """Return the zones outside of a path in which members are known; ``""`` alone if there is none."""
+    def list_member_zones_outside(self, path: str) -> list[str]:
+        """Return the zones of known members outside of a path, or ``[""]`` if there are none."""
         zones = dict.fromkeys(update.zone for update in self.membership.known_members())
         return [zone for zone in zones if not is_within(zone, path)] or [""]
 
     def select_aggregators(self) -> list[str]:
-        """Return the members that collect evidence: a few living ones, if possible of different zones."""
-        # Danger: with aggregators of its own for each zone, two could eject two zones at once, and each would
-        # keep to the bound on ejected zones, as far as it knows.
-        zones = self.map_living_to_zones()
+        """Return the aggregators in order: a few live members, of different zones if possible."""
+        # All paths share the same aggregators. With separate ones for each zone, two of them could each eject
+        # a zone at the same time and exceed max_ejected_zones together.
+        zones = self.map_live_members_to_zones()
         order = select_by_rendezvous(zones, len(zones), "counter")
-        first = list({zones[name]: name for name in reversed(order)}.values())[::-1]
-        rest = [name for name in order if name not in first]
-        return [*first, *rest][: self.config.aggregators]
+        first_of_each_zone = list({zones[name]: name for name in reversed(order)}.values())[::-1]
+        others = [name for name in order if name not in first_of_each_zone]
+        return [*first_of_each_zone, *others][: self.config.aggregator_count]
--- a/honeybarrow/fleet/zone_reporter.py
+++ b/honeybarrow/fleet/zone_reporter.py
@@ -1,4 +1,4 @@
-"""What this member reports of its own calls to those that collect evidence. No I/O, no clock."""
+"""Reports of this member's calls to the aggregators. This module does no I/O and reads no clock."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class EvidenceReporter:
-    """Chooses the paths to report on and numbers the reports."""
+    """Selects the paths to report on and creates numbered reports."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         self._sequence = 0
 
     def list_paths(self, now: int) -> list[str]:
-        """Return the paths with failures, and those that this member probes."""
+        """Return the paths with failures and those that this member probes."""
         failing = self.evidence.find_failing_zones(now)
         paths = dict.fromkeys(
             path for zone in failing for path in expand_path(zone) if path in self.catalog.paths
@@ -39,7 +39,10 @@
         return list(paths)
 
     def create_report(self, now: int, path: str, request_id: int = 0) -> EvidenceReport:
-        """Return what this member's calls into a path met; nothing if the fault is likely its own."""
+        """Return a report on a path, without results if this member itself is the likely cause of failures.
+
+        ``request_id`` is the answered request, or 0 for an unsolicited report.
+        """
         self._sequence += 1
         is_credible = self.evidence.is_credible(now)
         loads = sorted(self.evidence.count_calls_by_destination(now).items())
--- a/honeybarrow/fleet/zone_state.py
+++ b/honeybarrow/fleet/zone_state.py
@@ -1,4 +1,7 @@
-"""All that members of a fleet have to hold alike on zones: verdicts and overrides. No I/O, no clock."""
+"""State on zones that members replicate: verdicts and overrides.
+
+This module does no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -20,24 +23,25 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is held."""
-        return not self.verdicts.recoveries and not self.overrides.held
+        """Whether there are neither verdicts nor overrides."""
+        return not self.verdicts.recoveries and not self.overrides.entries
 
     def create_sync(self, now: int) -> VerdictSync:
-        """Return all that is held for another member, the latest first where there is too much."""
-        return VerdictSync(self.verdicts.list_latest(now), self.overrides.list_remaining(now))
+        """Return the verdicts and overrides to send to another member, up to ``max_sync_entries`` of each."""
+        return VerdictSync(self.verdicts.list_latest_verdicts(now), self.overrides.list_timed_overrides(now))
 
     def compute_digest(self) -> int:
-        """Return a hash over all that is held, the same at each member that holds the same.
+        """Return a hash of all verdicts and overrides, equal at members with equal state.
 
-        What is hashed is part of the protocol between members: a change of its form would have members of two
-        versions send each other all that they hold, again and again.
+        The hashed text is part of the protocol: members of two versions that hash different texts would send
+        each other their whole state again and again.
         """
         verdicts = [
             (each.verdict.path, each.verdict.source_zone, *each.verdict.precedence)
             for each in self.verdicts.recoveries.values()
         ]
         overrides = [
-            ("hold", held.override.path, *held.override.precedence) for held in self.overrides.held.values()
+            ("hold", entry.override.path, *entry.override.precedence)
+            for entry in self.overrides.entries.values()
         ]
         return xxhash.xxh3_64_intdigest(repr((sorted(verdicts), sorted(overrides))).encode())
--- a/honeybarrow/fleet/zone_view.py
+++ b/honeybarrow/fleet/zone_view.py
@@ -1,4 +1,7 @@
-"""What one member makes of a zone: its status, and whether calls to a destination there are sent. No I/O."""
+"""One member's view of a zone: its status, and whether the member sends calls there.
+
+This module does no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -15,16 +18,16 @@
 
 
 class ZoneStatus(enum.Enum):
-    """The status of a zone for the members whom a verdict concerns.
+    """The status of a zone for the members to which a verdict applies.
 
-    The values are labels of metrics and words of ``honeybarrow fleet zones``; they stay.
+    The values are labels of metrics and part of the output of ``honeybarrow fleet zones``.
     """
 
     IN_USE = "in use"
-    ASSESSING = "leaving"  # members are being asked
+    ASSESSING = "leaving"  # evidence has been requested from all members
     EJECTED = "out"
-    PROBING = "trying"  # a few members call it now
-    RECOVERING = "returning"  # members return in their order
+    PROBING = "trying"  # a few members send calls to it
+    RECOVERING = "returning"  # members return to it one after another
 
 
 class ZoneUsage(enum.Enum):
@@ -32,11 +35,11 @@
 
     USED = "used"
     AVOIDED = "avoided"
-    PROBED = "probed"  # and no other for this destination: a call keeps to the zone that it used, if it may
+    PROBED = "probed"  # the member uses no other zone for this destination
 
 
 class ZoneView:
-    """Applies verdicts and overrides to this member."""
+    """The effect of verdicts and overrides on this member."""
 
     def __init__(
         self,
@@ -52,23 +55,29 @@
     def get_usage(self, now: int, zone: str, destination: int) -> ZoneUsage:
         """Return how this member uses a destination's endpoints in a zone."""
         paths = expand_path(zone)
-        for path in reversed(paths):  # an override of the zone goes before one of its region
+        for path in reversed(paths):  # an override of the zone precedes one of its region
             override = self.overrides.find_active(now, path)
             if override is not None:
                 return ZoneUsage.AVOIDED if override.eject else ZoneUsage.USED
-        scopes = ("", self.quorum.own_zone) if self.quorum.own_zone else ("",)
-        found = [self.verdicts.find(path, scope) for path, scope in itertools.product(paths, scopes)]
+        source_zones = ("", self.quorum.own_zone) if self.quorum.own_zone else ("",)
+        found = [
+            self.verdicts.find(path, source_zone)
+            for path, source_zone in itertools.product(paths, source_zones)
+        ]
         usages = [
             self._apply_verdict(now, recovery, destination)
             for recovery in found
             if recovery is not None and not self.verdicts.is_superseded(recovery)
         ]
         if ZoneUsage.AVOIDED in usages:
-            return ZoneUsage.USED if zone in self._list_excess_zones(now) else ZoneUsage.AVOIDED
+            return ZoneUsage.USED if zone in self._list_zones_over_limit(now) else ZoneUsage.AVOIDED
         return ZoneUsage.PROBED if ZoneUsage.PROBED in usages else ZoneUsage.USED
 
     def get_status(self, now: int, path: str, source_zone: str, is_assessed: bool) -> ZoneStatus:
-        """Return the status of a path; ``is_assessed``: whether members are being asked about it."""
+        """Return the status of a path for members of ``source_zone``, or for all members if that is empty.
+
+        ``is_assessed`` tells whether a round of requests for evidence on the path is pending.
+        """
         recovery = self.verdicts.find(path, source_zone)
         if recovery is None:
             return ZoneStatus.ASSESSING if is_assessed else ZoneStatus.IN_USE
@@ -76,7 +85,7 @@
             if now < recovery.compute_return_us(1.0, self.config):
                 return ZoneStatus.RECOVERING
             return ZoneStatus.ASSESSING if is_assessed else ZoneStatus.IN_USE
-        return ZoneStatus.PROBING if recovery.is_probe_on(now) else ZoneStatus.EJECTED
+        return ZoneStatus.PROBING if recovery.is_probe_running(now) else ZoneStatus.EJECTED
 
     def _apply_verdict(self, now: int, recovery: ZoneRecovery, destination: int) -> ZoneUsage:
         verdict, own_name = recovery.verdict, self.quorum.own_name
@@ -88,16 +97,23 @@
             return ZoneUsage.USED
         for partial in verdict.partial_ejections:
             if partial.destination == destination:
-                stays = int(1000 * hash_fraction("part", verdict.path, own_name)) >= partial.per_mille
-                return ZoneUsage.USED if stays else ZoneUsage.AVOIDED
+                stays_in_use = int(1000 * hash_fraction("part", verdict.path, own_name)) >= partial.per_mille
+                return ZoneUsage.USED if stays_in_use else ZoneUsage.AVOIDED
         can_probe = self.prober.is_probing(now, recovery) and self.prober.can_send_call(now, recovery)
         return ZoneUsage.PROBED if can_probe else ZoneUsage.AVOIDED
 
-    def _list_excess_zones(self, now: int) -> list[str]:
-        """Return the zones beyond the bound on ejected ones: those that recover, then the last by name."""
-        # Danger: two aggregators that did not hear of each other, or a fleet that was split, may eject more
-        # than the bound together. Whoever holds all their verdicts keeps to it for itself.
+    def _list_zones_over_limit(self, now: int) -> list[str]:
+        """Return the unavailable zones that exceed ``max_ejected_zones``, so that they stay in use.
+
+        Ejected zones take precedence over recovering ones within the limit, and then the first by name.
+        """
+        # Aggregators without contact, or the sides of a partition, may eject more zones than the limit
+        # together. Each member that holds all their verdicts therefore applies the limit itself.
         own_zone = self.quorum.own_zone
-        away = [zone for zone in self.catalog.zones if self.verdicts.is_zone_away(now, zone, own_zone)]
-        away.sort(key=lambda zone: not self.verdicts.is_zone_ejected(zone, own_zone))
-        return away[self.catalog.max_ejected_zones :]
+        unavailable = [
+            zone
+            for zone in self.catalog.zones
+            if self.verdicts.is_zone_ejected_or_recovering(now, zone, own_zone)
+        ]
+        unavailable.sort(key=lambda zone: not self.verdicts.is_zone_ejected(zone, own_zone))
+        return unavailable[self.catalog.max_ejected_zones :]
--- a/tests/test_zone_mutants.py
+++ b/tests/test_zone_mutants.py
@@ -1,4 +1,4 @@
-"""Mutants of the fleet's decisions, each with the test that detects it; invariants under any faults."""
+"""Tests that removing a guard of zone ejection fails a test, and that invariants hold under random faults."""
 
 from __future__ import annotations
 
@@ -35,25 +35,25 @@
 
 
 def replace_config_value(name: str, value: Any) -> Patch:
-    """Another value in each configuration that is made."""
+    """Return a patch that sets one value in every new :class:`ZoneConfig`."""
 
     def apply(patch: pytest.MonkeyPatch) -> None:
-        first = ZoneConfig.__init__
+        original_init = ZoneConfig.__init__
 
-        def init(self: ZoneConfig, *given: Any, **named: Any) -> None:
-            first(self, *given, **{**named, name: value})
+        def init(self: ZoneConfig, *args: Any, **kwargs: Any) -> None:
+            original_init(self, *args, **{**kwargs, name: value})
 
         patch.setattr(ZoneConfig, "__init__", init)
 
     return apply
 
 
-def classify_as(status: AttemptStatus, seen: OutcomeClass) -> Patch:
-    return lambda patch: patch.setitem(OUTCOME_CLASSES, status, seen)
+def classify_as(status: AttemptStatus, outcome: OutcomeClass) -> Patch:
+    return lambda patch: patch.setitem(OUTCOME_CLASSES, status, outcome)
 
 
 def accept_older_verdicts(patch: pytest.MonkeyPatch) -> None:
-    """Each received verdict replaces the one that is held."""
+    """Let each received verdict replace the current one."""
 
     def merge(self: ZoneCoordinator, now: int, sender: str, sync: VerdictSync) -> None:
         for aged in sync.verdicts:
@@ -63,7 +63,7 @@
 
 
 def accept_reports_of_any_incarnation(patch: pytest.MonkeyPatch) -> None:
-    """Reports of any incarnation are accepted."""
+    """Accept reports regardless of their incarnation and sequence."""
 
     def receive(self: EvidenceAggregator, now: int, sender: str, report: EvidenceReport) -> None:
         self._reports.setdefault(report.path, {})[sender] = ReceivedReport(now, report)
@@ -71,90 +71,94 @@
     patch.setattr(EvidenceAggregator, "receive_report", receive)
 
 
-def count_only_itself(self: FleetQuorum, source_zone: str) -> list[str]:
+def list_only_itself(self: FleetQuorum, source_zone: str) -> list[str]:
     return [self.own_name]
 
 
-def remove_bound(patch: pytest.MonkeyPatch) -> None:
+def remove_ejection_limit(patch: pytest.MonkeyPatch) -> None:
     replace_config_value("max_ejected_zones", 99)(patch)
 
 
-def eject_without_alternative(
-    self: EndpointFilter, number: int, shown: endpoint_filter.ZoneUsageLookup
+def filter_without_alternative(
+    self: EndpointFilter, number: int, get_usage: endpoint_filter.ZoneUsageLookup
 ) -> list[Endpoint]:
-    """Drains each avoided zone, without a look at what remains."""
-    entries = [self.listed_endpoints[target] for target in self._targets_by_destination.get(number, ())]
+    """Drain the endpoints of each avoided zone, even if no other endpoint remains."""
+    endpoints = [self.listed_endpoints[target] for target in self._targets_by_destination.get(number, ())]
     return [
         Endpoint(
-            e.target,
-            e.destination,
-            endpoint_filter.DRAINING if shown(e.zone, number) is ZoneUsage.AVOIDED else e.state,
+            endpoint.target,
+            endpoint.destination,
+            endpoint_filter.DRAINING
+            if get_usage(endpoint.zone, number) is ZoneUsage.AVOIDED
+            else endpoint.state,
         )
-        for e in entries
+        for endpoint in endpoints
     ]
 
 
-def override_the_register(
-    self: EndpointFilter, number: int, shown: endpoint_filter.ZoneUsageLookup
+def ignore_register_state(
+    self: EndpointFilter, number: int, get_usage: endpoint_filter.ZoneUsageLookup
 ) -> list[Endpoint]:
-    """Says ready where the fleet uses the zone, whatever the register says."""
-    entries = [self.listed_endpoints[target] for target in self._targets_by_destination.get(number, ())]
+    """Mark endpoints of used zones as ready, whatever their state in the register."""
+    endpoints = [self.listed_endpoints[target] for target in self._targets_by_destination.get(number, ())]
     return [
         Endpoint(
-            e.target,
-            e.destination,
-            endpoint_filter.READY if shown(e.zone, number) is ZoneUsage.USED else endpoint_filter.DRAINING,
+            endpoint.target,
+            endpoint.destination,
+            endpoint_filter.READY
+            if get_usage(endpoint.zone, number) is ZoneUsage.USED
+            else endpoint_filter.DRAINING,
         )
-        for e in entries
+        for endpoint in endpoints
     ]
 
 
-def run_with(test: Callable[..., None], *given: Any) -> Callable[[], None]:
-    return lambda: test(*given)
+def call_with(test: Callable[..., None], *arguments: Any) -> Callable[[], None]:
+    return lambda: test(*arguments)
 
 
 MUTANTS: dict[str, tuple[Patch, Callable[[], None]]] = {
-    "no majority": (
-        replace_attribute(FleetQuorum, "list_voters", count_only_itself),
-        test_zones.test_minority_decides_nothing_and_catches_up_after_the_partition,
+    "no majority needed": (
+        replace_attribute(FleetQuorum, "list_voters", list_only_itself),
+        test_zones.test_minority_makes_no_verdict_and_catches_up_after_the_partition,
     ),
-    "members to which all fail are believed": (
+    "reports of members whose calls all fail are accepted": (
         replace_attribute(CallEvidence, "is_credible", lambda self, now: True),
-        test_zones.test_member_to_which_all_zones_fail_reports_nothing,
+        test_zones.test_member_whose_calls_to_all_zones_fail_reports_nothing,
     ),
-    "others need not serve": (
-        replace_attribute(EvidencePool, "have_other_zones_served", lambda self, since_bucket: True),
-        test_zones.test_zone_fails_only_if_other_zones_served_since,
+    "other zones need not succeed": (
+        replace_attribute(EvidencePool, "have_other_zones_succeeded", lambda self, since_bucket: True),
+        test_zones.test_zone_fails_only_if_calls_to_other_zones_succeeded_during_the_failure,
     ),
-    "old failures go on counting": (
+    "failures before a recovery count": (
         replace_attribute(EvidencePool, "has_recovered", lambda self: False),
-        run_with(
+        call_with(
             test_zones.test_failure_assessment,
             [[(8, 1, 0, 9, 0), (1, 1, 2, 0, 0)], [(8, 2, 0, 9, 0)]],
             2,
             False,
         ),
     ),
-    "any number of zones": (
-        remove_bound,
-        test_zones.test_not_more_than_half_of_the_zones_are_ejected_at_once,
+    "no limit on ejected zones": (
+        remove_ejection_limit,
+        test_zones.test_at_most_half_of_the_zones_are_ejected_at_once,
     ),
-    "return all at once": (
+    "members return all at once": (
         replace_attribute(zone_recovery, "return_delay_us", lambda rank, config: 0),
-        test_zones.test_members_return_no_faster_than_a_warming_zone_bears,
+        test_zones.test_members_return_within_the_capacity_of_a_warming_zone,
     ),
-    "an older verdict replaces": (
+    "an older verdict replaces a later one": (
         accept_older_verdicts,
         test_zones.test_older_verdict_is_rejected_and_its_sender_notified,
     ),
-    "reports of an earlier incarnation": (
+    "reports of an earlier incarnation accepted": (
         accept_reports_of_any_incarnation,
         test_zones.test_report_of_an_older_incarnation_is_dropped,
     ),
-    "a rejection for capacity is a failure": (
+    "a refusal for lack of capacity is a failure": (
         classify_as(AttemptStatus.FULL, OutcomeClass.FAILURE),
-        run_with(
-            test_zones.test_faults_that_are_no_zone_failure_eject_nothing,
+        call_with(
+            test_zones.test_faults_smaller_than_a_zone_eject_nothing,
             test_zones.make_fault(status=AttemptStatus.FULL, call_duration_us=20_000),
         ),
     ),
@@ -163,34 +167,34 @@
         test_zones.test_only_a_few_members_probe_an_ejected_zone,
     ),
     "all members probe": (
-        replace_config_value("probers", 99),
+        replace_config_value("prober_count", 99),
         test_zones.test_only_a_few_members_probe_an_ejected_zone,
     ),
     "probe delays do not grow": (
         replace_config_value("probe_backoff_factor", 1.0),
-        test_zones.test_probe_delays_grow_to_a_maximum_and_are_alike_everywhere,
+        test_zones.test_probe_delays_grow_to_a_maximum_and_are_equal_at_all_members,
     ),
     "remaining capacity ignored": (
-        replace_attribute(VerdictDecider, "_find_partial_ejections", lambda self, path, answers: ()),
-        test_zones.test_zone_is_ejected_in_part_if_the_rest_lacks_capacity,
+        replace_attribute(VerdictDecider, "_compute_partial_ejections", lambda self, path, answers: ()),
+        test_zones.test_zone_is_partially_ejected_if_other_zones_lack_capacity,
     ),
-    "an aggregator that is behind decides": (
-        replace_attribute(VerdictDecider, "_is_behind", lambda self, path, answers: False),
-        test_zones.test_aggregator_that_is_behind_asks_for_the_verdict_and_makes_none,
+    "an aggregator with an outdated verdict decides": (
+        replace_attribute(VerdictDecider, "_is_verdict_outdated", lambda self, path, answers: False),
+        test_zones.test_aggregator_with_an_outdated_verdict_requests_the_later_one_and_makes_none,
     ),
     "a destination without an endpoint": (
-        replace_attribute(EndpointFilter, "_filter_destination", eject_without_alternative),
+        replace_attribute(EndpointFilter, "_filter_destination", filter_without_alternative),
         test_endpoint_filter.test_no_destination_remains_without_an_endpoint,
     ),
-    "the register's drain overridden": (
-        replace_attribute(EndpointFilter, "_filter_destination", override_the_register),
+    "draining state of the register ignored": (
+        replace_attribute(EndpointFilter, "_filter_destination", ignore_register_state),
         test_endpoint_filter.test_the_registers_own_drain_takes_precedence,
     ),
-    "messages of an earlier incarnation": (
+    "messages of an earlier incarnation accepted": (
         replace_attribute(FleetAgent, "find_member", lambda self, name: None),
         test_fleet.test_invalid_datagrams_are_counted_and_dropped,
     ),
-    "a region's zones keep their own verdicts": (
+    "zones of a region keep superseded verdicts": (
         replace_attribute(VerdictTable, "is_superseded", lambda self, recovery: False),
         test_zones.test_later_verdict_on_a_region_supersedes_those_on_its_zones,
     ),
@@ -205,60 +209,62 @@
         test()
 
 
-# --- invariants under any faults
+# --- invariants under random faults
 
 ZONES = ("a", "b", "c")
-event = st.one_of(
+fault_events = st.one_of(
     st.tuples(st.just("fault"), st.sampled_from(ZONES), st.integers(2, 12)),
     st.tuples(st.just("path"), st.sampled_from(ZONES), st.integers(2, 12)),
     st.tuples(st.just("kill"), st.integers(0, 7), st.integers(1, 6)),
     st.tuples(st.just("stall"), st.integers(0, 7), st.integers(1, 8)),
-    st.tuples(st.just("part"), st.integers(1, 6), st.integers(1, 8)),
+    st.tuples(st.just("partition"), st.integers(1, 6), st.integers(1, 8)),
     st.tuples(st.just("override"), st.sampled_from(ZONES), st.integers(1, 8)),
 )
 
 
 @settings(max_examples=12, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
-@given(st.lists(st.tuples(event, st.integers(1, 6)), min_size=2, max_size=6))
+@given(st.lists(st.tuples(fault_events, st.integers(1, 6)), min_size=2, max_size=6))
 def test_members_converge_and_use_what_serves_after_any_faults(
     events: list[tuple[tuple[str, Any, int], int]],
 ) -> None:
     fleet = GossipCluster(ClusterConfig(member_count=8, datagram_loss=0.05, calls_per_second=8.0), 1)
     fleet.run(5)
     faults: list[ZoneFault] = []
-    ends = fleet.now_us
-    for (what, who, seconds), pause in events:
+    last_end_us = fleet.now_us
+    for (kind, subject, seconds), pause_s in events:
         duration_us = seconds * SECOND
-        ends = max(ends, fleet.now_us + duration_us)
-        if what in ("fault", "path"):
+        last_end_us = max(last_end_us, fleet.now_us + duration_us)
+        if kind in ("fault", "path"):
             faults.append(
-                ZoneFault(who, fleet.now_us, duration_us, caller_zone="a" if what == "path" else "")
+                ZoneFault(subject, fleet.now_us, duration_us, caller_zone="a" if kind == "path" else "")
             )
             fleet.config = ClusterConfig(
                 member_count=8, datagram_loss=0.05, calls_per_second=8.0, faults=tuple(faults)
             )
-        elif what == "kill" and f"m{who}" in fleet.members:
-            name = f"m{who}"
+        elif kind == "kill" and f"m{subject}" in fleet.members:
+            name = f"m{subject}"
             fleet.kill_member(name)
             fleet.schedule(duration_us, lambda name=name: fleet.start_member(name))  # type: ignore[misc]
-        elif what == "stall" and f"m{who}" in fleet.members:
-            fleet.pause_member(f"m{who}", duration_us)
-        elif what == "part":
-            fleet.partition(fleet.names[:who])
+        elif kind == "stall" and f"m{subject}" in fleet.members:
+            fleet.pause_member(f"m{subject}", duration_us)
+        elif kind == "partition":
+            fleet.partition(fleet.names[:subject])
             fleet.schedule(duration_us, fleet.heal_partitions)
-        elif what == "override" and (member := next(iter(fleet.members.values()), None)) is not None:
-            member.zones.set_override(fleet.now_us, who, True, duration_us)
-        fleet.run(pause)
+        elif kind == "override" and (member := next(iter(fleet.members.values()), None)) is not None:
+            member.zones.set_override(fleet.now_us, subject, True, duration_us)
+        fleet.run(pause_s)
         for each in fleet.members.values():
-            left = [z for z in ZONES if each.zones.get_usage(fleet.now_us, z, 0) is ZoneUsage.AVOIDED]
+            avoided = [z for z in ZONES if each.zones.get_usage(fleet.now_us, z, 0) is ZoneUsage.AVOIDED]
             overridden = [z for z in ZONES if each.zones.get_override(fleet.now_us, z)]
-            assert len([z for z in left if z not in overridden]) <= 1, "of three zones one"
-    fleet.run(max(0, ends - fleet.now_us) / SECOND + 150)
+            assert len([z for z in avoided if z not in overridden]) <= 1, (
+                "at most one of three zones is ejected"
+            )
+    fleet.run(max(0, last_end_us - fleet.now_us) / SECOND + 150)
     verdicts: dict[Any, ZoneVerdict] = {}
     for each in fleet.members.values():
         for recovery in each.zones.recoveries.values():
             verdict = recovery.verdict
             known = verdicts.setdefault((verdict.path, verdict.source_zone, verdict.precedence), verdict)
-            assert known == verdict, "one verdict of one number and maker"
+            assert known == verdict, "verdicts of equal precedence are equal"
     assert len({each.zones.compute_digest() for each in fleet.members.values()}) == 1
     assert [fleet.members_avoiding(zone) for zone in ZONES] == [[], [], []], f"{events}"
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,4 @@
-"""Zone ejection: whole fleets in simulated time, with faults of zones, network paths, members and links."""
+"""Tests of zone ejection: simulated fleets with faults, one coordinator, and the evidence of calls."""
 
 from __future__ import annotations
 
@@ -39,37 +39,39 @@
 from honeybarrow.fleet.zone_view import ZoneStatus, ZoneUsage
 from honeybarrow.lab.gossip_cluster import SECOND, ClusterConfig, GossipCluster, ZoneFault
 
-AT = 15 * SECOND  # when the faults of these days begin
+FAULT_START_US = 15 * SECOND
 SEEDS = (1, 2, 3)
 
 
-def make_fault(zone: str = "b", last_s: float = 15.0, **more: Any) -> ZoneFault:
-    return ZoneFault(zone, AT, int(last_s * SECOND), **more)
+def make_fault(zone: str = "b", duration_s: float = 15.0, **options: Any) -> ZoneFault:
+    return ZoneFault(zone, FAULT_START_US, int(duration_s * SECOND), **options)
 
 
-def play_day(plan: ClusterConfig, seed: int = 1, seconds: float = 60.0, **more: Any) -> GossipCluster:
-    fleet = GossipCluster(plan, seed, **more)
+def run_cluster(config: ClusterConfig, seed: int = 1, seconds: float = 60.0, **options: Any) -> GossipCluster:
+    fleet = GossipCluster(config, seed, **options)
     fleet.run(seconds - 1)
     return fleet
 
 
 def list_epochs(fleet: GossipCluster, path: str) -> list[int]:
-    """The epochs of the verdicts on a path, in order."""
-    noted = [
+    """Return the epochs of the verdicts on a path, in order."""
+    verdict_events = [
         each for each in fleet.record.log_events if each[2].path == path and "epoch" in dict(each[2].fields)
     ]
-    return [int(n) for n in dict.fromkeys(dict(note.fields)["epoch"] for _, _, note in noted)]
+    return [
+        int(epoch) for epoch in dict.fromkeys(dict(event.fields)["epoch"] for _, _, event in verdict_events)
+    ]
 
 
 def list_ejected_paths(fleet: GossipCluster) -> list[str]:
-    return sorted({note.path for _, _, note in fleet.log_events_named("zone_ejected")})
+    return sorted({event.path for _, _, event in fleet.log_events_named("zone_ejected")})
 
 
-# --- whole days
+# --- simulated fleets
 
 
 @pytest.mark.parametrize(
-    ("status", "took"),
+    ("status", "call_duration_us"),
     [
         (AttemptStatus.TIMEOUT, 1_300_000),
         (AttemptStatus.CONNECT_FAILED, 2_000),
@@ -77,14 +79,22 @@
         (AttemptStatus.RESET, 400_000),
     ],
 )
-def test_failing_zone_is_ejected_by_all_at_once_and_used_again(status: AttemptStatus, took: int) -> None:
+def test_failing_zone_is_ejected_by_all_members_and_used_again(
+    status: AttemptStatus, call_duration_us: int
+) -> None:
     for seed in SEEDS:
-        fleet = play_day(ClusterConfig(faults=(make_fault(status=status, call_duration_us=took),)), seed)
+        fleet = run_cluster(
+            ClusterConfig(faults=(make_fault(status=status, call_duration_us=call_duration_us),)), seed
+        )
         assert list_ejected_paths(fleet) == ["b"]
-        ejected_us = [at for at, _, _ in fleet.log_events_named("zone_ejected")]
-        first = min(c.sent_us for c in fleet.calls_to("b") if c.is_lost) + took
-        assert len(ejected_us) == 9, "each member hears of it once"
-        assert max(ejected_us) - first < (SECOND if status is AttemptStatus.TIMEOUT else 2 * SECOND)
+        ejected_us = [logged_us for logged_us, _, _ in fleet.log_events_named("zone_ejected")]
+        first_failure_us = (
+            min(call.sent_us for call in fleet.calls_to("b") if call.is_lost) + call_duration_us
+        )
+        assert len(ejected_us) == 9, "each member logs the ejection once"
+        assert max(ejected_us) - first_failure_us < (
+            SECOND if status is AttemptStatus.TIMEOUT else 2 * SECOND
+        )
         assert max(ejected_us) - min(ejected_us) < SECOND // 2
         assert list_epochs(fleet, "b") == [1, 2]
         assert set(fleet.zone_statuses("b").values()) == {ZoneStatus.IN_USE}
@@ -92,55 +102,60 @@
 
 
 def test_only_a_few_members_probe_an_ejected_zone() -> None:
-    fleet = play_day(ClusterConfig(member_count=30, faults=(make_fault(last_s=40.0),)), 2, 50.0)
-    last_ejected_us = max(at for at, _, _ in fleet.log_events_named("zone_ejected"))
+    fleet = run_cluster(ClusterConfig(member_count=30, faults=(make_fault(duration_s=40.0),)), 2, 50.0)
+    last_ejected_us = max(logged_us for logged_us, _, _ in fleet.log_events_named("zone_ejected"))
     probes = fleet.calls_to("b", last_ejected_us + SECOND // 10)
     probers = {call.member for call in probes}
     assert 2 <= len(probers) <= 12
     for name in probers:
         sent_us = [call.sent_us for call in probes if call.member == name]
-        assert all(b - a > SECOND for a, b in pairwise(sent_us)), "a call that fails ends a probe"
-    assert len(probes) < 0.08 * len(fleet.calls_to("b", 5 * SECOND, AT)) * (50 - 17) / 10
+        assert all(later - earlier > SECOND for earlier, later in pairwise(sent_us)), (
+            "a failed call ends a probe"
+        )
+    assert len(probes) < 0.08 * len(fleet.calls_to("b", 5 * SECOND, FAULT_START_US)) * (50 - 17) / 10
 
 
-def test_members_return_no_faster_than_a_warming_zone_bears() -> None:
+def test_members_return_within_the_capacity_of_a_warming_zone() -> None:
     config = ZoneConfig()
-    fleet = GossipCluster(ClusterConfig(member_count=60, faults=(make_fault(last_s=10.0),)), 4)
+    fleet = GossipCluster(ClusterConfig(member_count=60, faults=(make_fault(duration_s=10.0),)), 4)
     while not fleet.log_events_named("zone_recovering"):
         fleet.run(0.5)
-    began = min(at for at, _, _ in fleet.log_events_named("zone_recovering"))
-    back: list[float] = []
-    while fleet.now_us < began + 1.3 * config.warm_up_us:
+    recovery_start_us = min(logged_us for logged_us, _, _ in fleet.log_events_named("zone_recovering"))
+    returned_shares: list[float] = []
+    while fleet.now_us < recovery_start_us + 1.3 * config.warm_up_us:
         fleet.run(0.25)
-        share_back = 1 - len(fleet.members_avoiding("b")) / 60
-        passed = (fleet.now_us - began) / config.warm_up_us
-        bears = config.start_capacity + (1 - config.start_capacity) * passed
-        if passed < 1.0:
-            assert share_back <= bears, f"{share_back:.2f} are back where {bears:.2f} is borne"
-        back.append(share_back)
-    assert back[0] < 0.4
-    assert back == sorted(back), "nobody leaves again"
-    assert back[-1] == 1.0
+        returned_share = 1 - len(fleet.members_avoiding("b")) / 60
+        warm_up_fraction = (fleet.now_us - recovery_start_us) / config.warm_up_us
+        capacity = config.start_capacity + (1 - config.start_capacity) * warm_up_fraction
+        if warm_up_fraction < 1.0:
+            assert returned_share <= capacity, (
+                f"share {returned_share:.2f} of the members returned at capacity {capacity:.2f}"
+            )
+        returned_shares.append(returned_share)
+    assert returned_shares[0] < 0.4
+    assert returned_shares == sorted(returned_shares), "no member leaves again"
+    assert returned_shares[-1] == 1.0
 
 
 @pytest.mark.parametrize(
     "fault",
     [
-        make_fault(partners=(0,)),  # one partner in it
-        make_fault(probability=0.4),  # a part of its endpoints
-        make_fault(status=AttemptStatus.FULL, call_duration_us=20_000),  # above a limit is an answer
-        make_fault(status=AttemptStatus.CANCELLED, call_duration_us=50_000),  # clients gave up
+        make_fault(partners=(0,)),  # one partner of the zone
+        make_fault(probability=0.4),  # some of its endpoints
+        # a refusal for lack of capacity is an answer
+        make_fault(status=AttemptStatus.FULL, call_duration_us=20_000),
+        make_fault(status=AttemptStatus.CANCELLED, call_duration_us=50_000),  # cancelled by clients
     ],
 )
-def test_faults_that_are_no_zone_failure_eject_nothing(fault: ZoneFault) -> None:
+def test_faults_smaller_than_a_zone_eject_nothing(fault: ZoneFault) -> None:
     for seed in SEEDS:
-        fleet = play_day(ClusterConfig(faults=(fault,)), seed, 35.0)
+        fleet = run_cluster(ClusterConfig(faults=(fault,)), seed, 35.0)
         assert list_ejected_paths(fleet) == []
 
 
 def test_random_call_failures_eject_no_zone() -> None:
     for seed in range(6):
-        fleet = play_day(
+        fleet = run_cluster(
             ClusterConfig(member_count=12, calls_per_second=3.0, call_loss=0.05, datagram_loss=0.05),
             seed,
             30.0,
@@ -152,24 +167,26 @@
     fleet = GossipCluster(ClusterConfig(member_count=12, faults=(make_fault(caller_zone="a"),)), 1)
     fleet.run(20)
     assert {fleet.zone_of[name] for name in fleet.members_avoiding("b")} == {"a"}
-    assert len(fleet.log_events_named("zone_ejected")) == 12, "all know of it"
-    assert len(fleet.members_avoiding("b")) >= 2, "all of them but those that probe it now"
+    assert len(fleet.log_events_named("zone_ejected")) == 12, "all members know the verdict"
+    assert len(fleet.members_avoiding("b")) >= 2, "all affected members except the current probers"
     fleet.run(40)
     assert fleet.members_avoiding("b") == []
-    assert {dict(note.fields)["source_zone"] for _, _, note in fleet.log_events_named("zone_ejected")} == {
+    assert {dict(event.fields)["source_zone"] for _, _, event in fleet.log_events_named("zone_ejected")} == {
         "a"
     }
 
 
-def test_one_member_whose_calls_all_fail_changes_nothing() -> None:
-    for zone_too in (True, False):
+def test_one_member_whose_calls_all_fail_ejects_nothing() -> None:
+    for has_own_zone in (True, False):
         fleet = GossipCluster(ClusterConfig(member_count=10, zones=("a", "b", "c")), 5)
-        fleet.zone_of["m4"] = "alone" if zone_too else "a"
+        fleet.zone_of["m4"] = "alone" if has_own_zone else "a"
         fleet.kill_member("m4")
         fleet.start_member("m4")
         fleet.config = ClusterConfig(
             member_count=10,
-            faults=tuple(ZoneFault(z, AT, 15 * SECOND, caller_zone="alone") for z in ("a", "b", "c")),
+            faults=tuple(
+                ZoneFault(z, FAULT_START_US, 15 * SECOND, caller_zone="alone") for z in ("a", "b", "c")
+            ),
         )
         fleet.run(35)
         assert list_ejected_paths(fleet) == []
@@ -179,8 +196,8 @@
     faults = (
         make_fault(caller_zone="a"),
         make_fault(caller_zone="c"),
-        ZoneFault("a", AT, 15 * SECOND, caller_zone="b"),
-        ZoneFault("c", AT, 15 * SECOND, caller_zone="b"),
+        ZoneFault("a", FAULT_START_US, 15 * SECOND, caller_zone="b"),
+        ZoneFault("c", FAULT_START_US, 15 * SECOND, caller_zone="b"),
     )
     fleet = GossipCluster(ClusterConfig(faults=faults), 3)
     fleet.run(14)
@@ -195,13 +212,13 @@
     assert not fleet.members_avoiding("a") + fleet.members_avoiding("b") + fleet.members_avoiding("c")
 
 
-def test_minority_decides_nothing_and_catches_up_after_the_partition() -> None:
-    fleet = GossipCluster(ClusterConfig(faults=(make_fault(last_s=25.0),)), 6)
+def test_minority_makes_no_verdict_and_catches_up_after_the_partition() -> None:
+    fleet = GossipCluster(ClusterConfig(faults=(make_fault(duration_s=25.0),)), 6)
     fleet.run(13)
-    few = fleet.names[:4]
-    fleet.partition(few)
+    minority = fleet.names[:4]
+    fleet.partition(minority)
     fleet.run(8)
-    assert sorted(fleet.members_avoiding("b")) == sorted(set(fleet.names) - set(few))
+    assert sorted(fleet.members_avoiding("b")) == sorted(set(fleet.names) - set(minority))
     fleet.heal_partitions()
     fleet.run(8)
     assert len(fleet.members_avoiding("b")) == 9
@@ -211,7 +228,7 @@
 
 
 def test_a_minority_of_two_keeps_the_last_verdict() -> None:
-    fleet = GossipCluster(ClusterConfig(faults=(make_fault(last_s=12.0),)), 7)
+    fleet = GossipCluster(ClusterConfig(faults=(make_fault(duration_s=12.0),)), 7)
     fleet.run(19)
     fleet.partition(fleet.names[:2])
     fleet.run(30)
@@ -222,9 +239,9 @@
     assert fleet.members_avoiding("b") == []
 
 
-def test_deciding_aggregator_may_die_during_its_round() -> None:
+def test_zone_is_ejected_if_the_deciding_aggregator_dies_during_its_round() -> None:
     for seed in SEEDS:
-        fleet = GossipCluster(ClusterConfig(faults=(make_fault(last_s=25.0),)), seed)
+        fleet = GossipCluster(ClusterConfig(faults=(make_fault(duration_s=25.0),)), seed)
         while not fleet.log_events_named("zone_evidence_requested"):
             fleet.run(0.01)
         decider = fleet.log_events_named("zone_evidence_requested")[0][1]
@@ -233,34 +250,34 @@
         assert len(fleet.members_avoiding("b")) == 8
 
 
-def test_members_that_start_while_a_zone_is_ejected_do_not_rush_back() -> None:
-    fleet = GossipCluster(ClusterConfig(member_count=20, faults=(make_fault(last_s=40.0),)), 8)
+def test_members_that_restart_during_an_ejection_avoid_the_zone() -> None:
+    fleet = GossipCluster(ClusterConfig(member_count=20, faults=(make_fault(duration_s=40.0),)), 8)
     fleet.run(20)
-    before = fleet.now_us
-    again = fleet.names[:14]
-    for name in again:
+    restart_us = fleet.now_us
+    restarted = fleet.names[:14]
+    for name in restarted:
         fleet.kill_member(name)
-    for name in again:
+    for name in restarted:
         fleet.start_member(name)
     fleet.run(4)
-    assert len(fleet.members_avoiding("b")) >= 16, "all but those that probe it now"
-    rushed = [c for c in fleet.calls_to("b", before) if c.member in again]
-    assert len(rushed) <= 10
+    assert len(fleet.members_avoiding("b")) >= 16, "all members except the current probers"
+    calls = [call for call in fleet.calls_to("b", restart_us) if call.member in restarted]
+    assert len(calls) <= 10
     fleet.run(60)
     assert fleet.members_avoiding("b") == []
 
 
-def test_flapping_zone_is_probed_later_each_time_and_used_in_the_end() -> None:
-    faults = tuple(ZoneFault("b", AT + i * 30 * SECOND, 28 * SECOND) for i in range(5))
-    fleet = play_day(ClusterConfig(faults=faults), 9, 330.0)
+def test_flapping_zone_is_probed_at_growing_delays_and_used_in_the_end() -> None:
+    faults = tuple(ZoneFault("b", FAULT_START_US + i * 30 * SECOND, 28 * SECOND) for i in range(5))
+    fleet = run_cluster(ClusterConfig(faults=faults), 9, 330.0)
     assert fleet.members_avoiding("b") == []
-    relapses = [dict(note.fields)["relapses"] for _, _, note in fleet.log_events_named("zone_ejected")]
+    relapses = [dict(event.fields)["relapses"] for _, _, event in fleet.log_events_named("zone_ejected")]
     assert relapses == sorted(relapses)
     assert len(list_epochs(fleet, "b")) <= 10
 
 
-def test_relapse_ejects_the_zone_for_all_at_once() -> None:
-    faults = (make_fault(last_s=6.0), ZoneFault("b", 30 * SECOND, 20 * SECOND))
+def test_relapse_ejects_the_zone_for_all_members() -> None:
+    faults = (make_fault(duration_s=6.0), ZoneFault("b", 30 * SECOND, 20 * SECOND))
     fleet = GossipCluster(ClusterConfig(member_count=20, faults=faults), 2)
     while not fleet.log_events_named("zone_recovering"):
         fleet.run(0.2)
@@ -270,20 +287,22 @@
     fleet.run(0.5)
     assert len(fleet.members_avoiding("b")) == 20
     assert all(
-        dict(note.fields)["relapses"] == (dict(note.fields)["epoch"] == 3)
-        for _, _, note in fleet.log_events_named("zone_ejected")
+        dict(event.fields)["relapses"] == (dict(event.fields)["epoch"] == 3)
+        for _, _, event in fleet.log_events_named("zone_ejected")
     )
 
 
-def test_two_zones_fail_in_turn() -> None:
-    faults = (make_fault(last_s=10.0), ZoneFault("c", 60 * SECOND, 10 * SECOND))
-    fleet = play_day(ClusterConfig(faults=faults), 1, 110.0)
+def test_two_zones_that_fail_in_turn_are_ejected_and_restored() -> None:
+    faults = (make_fault(duration_s=10.0), ZoneFault("c", 60 * SECOND, 10 * SECOND))
+    fleet = run_cluster(ClusterConfig(faults=faults), 1, 110.0)
     assert list_ejected_paths(fleet) == ["b", "c"]
     assert fleet.members_avoiding("b") + fleet.members_avoiding("c") == []
 
 
-def test_not_more_than_half_of_the_zones_are_ejected_at_once() -> None:
-    fleet = GossipCluster(ClusterConfig(faults=(make_fault(last_s=20.0), make_fault("c", last_s=20.0))), 3)
+def test_at_most_half_of_the_zones_are_ejected_at_once() -> None:
+    fleet = GossipCluster(
+        ClusterConfig(faults=(make_fault(duration_s=20.0), make_fault("c", duration_s=20.0))), 3
+    )
     max_ejected = 0
     for _ in range(30):
         fleet.run(1)
@@ -294,77 +313,80 @@
     assert fleet.members_avoiding("b") + fleet.members_avoiding("c") == []
 
 
-def test_where_all_zones_fail_none_is_ejected() -> None:
-    faults = tuple(make_fault(zone, last_s=15.0) for zone in "abc")
+def test_no_zone_is_ejected_if_all_fail() -> None:
+    faults = tuple(make_fault(zone, duration_s=15.0) for zone in "abc")
     for seed in SEEDS:
-        assert list_ejected_paths(play_day(ClusterConfig(faults=faults), seed, 40.0)) == []
+        assert list_ejected_paths(run_cluster(ClusterConfig(faults=faults), seed, 40.0)) == []
 
 
-def test_zone_is_ejected_in_part_if_the_rest_lacks_capacity() -> None:
-    # 12 members at 10 calls a second for 2 partners: 60 a second each, of which two zones of three bear 54.
-    plan = ClusterConfig(
+def test_zone_is_partially_ejected_if_other_zones_lack_capacity() -> None:
+    # 12 members send 10 calls per second to 2 partners: 60 per partner, of which two of three zones bear 54.
+    config = ClusterConfig(
         member_count=12,
         partner_count=2,
         calls_per_second=10.0,
         endpoint_weight=90.0,
-        faults=(make_fault(last_s=20.0),),
+        faults=(make_fault(duration_s=20.0),),
     )
-    fleet = GossipCluster(plan, 4)
+    fleet = GossipCluster(config, 4)
     fleet.run(20)
-    stay = [name for name in fleet.names if name not in fleet.members_avoiding("b")]
-    assert 0 < len(stay) < 9
+    remaining = [name for name in fleet.names if name not in fleet.members_avoiding("b")]
+    assert 0 < len(remaining) < 9
     assert all(
-        dict(note.fields)["partial_ejections"] for _, _, note in fleet.log_events_named("zone_ejected")
+        dict(event.fields)["partial_ejections"] for _, _, event in fleet.log_events_named("zone_ejected")
     )
 
 
-def test_region_is_ejected_as_one_where_each_of_its_zones_fails() -> None:
-    plan = ClusterConfig(
+def test_region_is_ejected_as_a_whole_only_if_all_its_zones_fail() -> None:
+    config = ClusterConfig(
         zones=("r1/a", "r1/b", "r2/c", "r2/d"),
         member_count=16,
         calls_per_second=8.0,
-        faults=(make_fault("r1", last_s=12.0),),
+        faults=(make_fault("r1", duration_s=12.0),),
     )
-    fleet = GossipCluster(plan, 2)
+    fleet = GossipCluster(config, 2)
     fleet.run(20)
     assert len(fleet.members_avoiding("r1/a")) >= 14
     assert len(fleet.members_avoiding("r1/b")) >= 14
     fleet.run(60)
     assert fleet.members_avoiding("r1/a") + fleet.members_avoiding("r1/b") == []
-    one = ClusterConfig(
-        zones=plan.zones, member_count=16, calls_per_second=8.0, faults=(make_fault("r1/a", last_s=12.0),)
+    one_zone_config = ClusterConfig(
+        zones=config.zones,
+        member_count=16,
+        calls_per_second=8.0,
+        faults=(make_fault("r1/a", duration_s=12.0),),
     )
-    assert list_ejected_paths(play_day(one, 2)) == ["r1/a"]
+    assert list_ejected_paths(run_cluster(one_zone_config, 2)) == ["r1/a"]
 
 
-def test_packet_loss_delays_a_verdict_and_changes_none() -> None:
+def test_packet_loss_does_not_change_verdicts() -> None:
     for seed in SEEDS:
-        fleet = play_day(ClusterConfig(datagram_loss=0.2, faults=(make_fault(),)), seed, 75.0)
+        fleet = run_cluster(ClusterConfig(datagram_loss=0.2, faults=(make_fault(),)), seed, 75.0)
         assert list_ejected_paths(fleet) == ["b"]
         assert fleet.members_avoiding("b") == []
         assert all(list_epochs(fleet, "b")[i] == i + 1 for i in range(len(list_epochs(fleet, "b"))))
 
 
-def test_paused_member_takes_no_part_in_what_it_missed() -> None:
-    fleet = GossipCluster(ClusterConfig(faults=(make_fault(last_s=10.0),)), 3)
+def test_paused_member_starts_no_round_from_stale_evidence() -> None:
+    fleet = GossipCluster(ClusterConfig(faults=(make_fault(duration_s=10.0),)), 3)
     fleet.run(16)
-    sleeper = fleet.names[5]
-    fleet.pause_member(sleeper, 30 * SECOND)
+    paused_name = fleet.names[5]
+    fleet.pause_member(paused_name, 30 * SECOND)
     fleet.run(29)
-    before = fleet.log_events_named("zone_evidence_requested")
+    events_before = fleet.log_events_named("zone_evidence_requested")
     fleet.run(8)
     assert not [
         each
-        for each in fleet.log_events_named("zone_evidence_requested")[len(before) :]
-        if each[1] == sleeper
+        for each in fleet.log_events_named("zone_evidence_requested")[len(events_before) :]
+        if each[1] == paused_name
     ]
     fleet.run(20)
-    assert len(set(m.zones.compute_digest() for m in fleet.members.values())) == 1
+    assert len(set(member.zones.compute_digest() for member in fleet.members.values())) == 1
     assert fleet.members_avoiding("b") == []
 
 
-def test_a_member_that_knows_nobody_yet_decides_nothing() -> None:
-    fleet = GossipCluster(ClusterConfig(member_count=5, faults=(make_fault(last_s=40.0),)), 1)
+def test_isolated_new_member_makes_no_verdict() -> None:
+    fleet = GossipCluster(ClusterConfig(member_count=5, faults=(make_fault(duration_s=40.0),)), 1)
     fleet.partition(fleet.names[:1])
     for name in fleet.names[1:]:
         fleet.kill_member(name)
@@ -372,17 +394,18 @@
     assert fleet.members_avoiding("b") == []
 
 
-# --- one member
+# --- one coordinator
 
 
 def make_coordinator(name: str = "m1", zone: str = "a", peers: int = 4) -> ZoneCoordinator:
-    others = [f"m{n}" for n in range(1, peers + 2) if f"m{n}" != name]
-    members = Membership(name, zone, "", 1, others, random.Random(1))
+    peer_names = [f"m{n}" for n in range(1, peers + 2) if f"m{n}" != name]
+    membership = Membership(name, zone, "", 1, peer_names, random.Random(1))
     updates = [
-        swim.MemberUpdate(each, swim.MemberState.ALIVE, 1, 0, "abc"[i % 3]) for i, each in enumerate(others)
+        swim.MemberUpdate(peer, swim.MemberState.ALIVE, 1, 0, "abc"[i % 3])
+        for i, peer in enumerate(peer_names)
     ]
-    members.merge_member_list(0, updates)
-    zones = ZoneCoordinator(members, CallEvidence(), random.Random(1))
+    membership.merge_member_list(0, updates)
+    zones = ZoneCoordinator(membership, CallEvidence(), random.Random(1))
     zones.update_endpoints(make_endpoints())
     zones.start(0)
     return zones
@@ -393,12 +416,12 @@
     return [Endpoint(f"{p}{z}", p, ready, "", z, 100.0) for p in range(partners) for z in "abc"]
 
 
-def make_verdict(epoch: int = 1, by: str = "m2", path: str = "b", **more: Any) -> ZoneVerdict:
-    return ZoneVerdict(path, more.pop("source_zone", ""), epoch, by, 1, **more)
+def make_verdict(epoch: int = 1, decided_by: str = "m2", path: str = "b", **options: Any) -> ZoneVerdict:
+    return ZoneVerdict(path, options.pop("source_zone", ""), epoch, decided_by, 1, **options)
 
 
-def make_sync(each: ZoneVerdict, age_us: int = 0) -> VerdictSync:
-    return VerdictSync((AgedVerdict(each, age_us),))
+def make_sync(verdict: ZoneVerdict, age_us: int = 0) -> VerdictSync:
+    return VerdictSync((AgedVerdict(verdict, age_us),))
 
 
 def test_older_verdict_is_rejected_and_its_sender_notified() -> None:
@@ -414,9 +437,9 @@
 
 def test_report_of_an_older_incarnation_is_dropped() -> None:
     zones = make_coordinator()
-    for life, number, dropped in ((2, 1, 0), (1, 9, 1), (2, 1, 2), (2, 2, 2)):
+    for incarnation, sequence, dropped in ((2, 1, 0), (1, 9, 1), (2, 1, 2), (2, 2, 2)):
         zones.wake(zones.due_us)
-        zones.handle_message(zones.due_us, "m2", EvidenceReport("b", life, number))
+        zones.handle_message(zones.due_us, "m2", EvidenceReport("b", incarnation, sequence))
         assert zones.dropped_count == dropped
     zones.handle_message(zones.due_us, "stranger", EvidenceReport("b", 1, 1))
     zones.handle_message(zones.due_us, "m2", EvidenceReport("nowhere", 2, 3))
@@ -427,36 +450,38 @@
     zones = make_coordinator()
     zones.merge_sync(SECOND, make_sync(make_verdict(1)))
     zones.wake(zones.due_us)
-    assert zones.handle_message(SECOND, "m2", EvidenceReport("b", 1, 1, held_epoch=0)) == [
+    assert zones.handle_message(SECOND, "m2", EvidenceReport("b", 1, 1, verdict_epoch=0)) == [
         SendMessage("m2", zones.create_sync(SECOND))
     ]
-    assert zones.handle_message(SECOND, "m2", EvidenceReport("b", 1, 2, held_epoch=1)) == []
+    assert zones.handle_message(SECOND, "m2", EvidenceReport("b", 1, 2, verdict_epoch=1)) == []
     assert zones.handle_message(SECOND, "m2", StateDigest(zones.compute_digest())) == []
-    sent = SendMessage("m2", zones.create_sync(SECOND))
+    sync = SendMessage("m2", zones.create_sync(SECOND))
     assert zones.handle_message(SECOND, "m2", StateDigest(1)) == [
-        sent,
+        sync,
         SendMessage("m2", StateDigest(zones.compute_digest(), True)),
     ]
-    assert zones.handle_message(SECOND, "m2", StateDigest(1, True)) == [sent], (
-        "and no more, or they would go on for ever"
+    assert zones.handle_message(SECOND, "m2", StateDigest(1, True)) == [sync], (
+        "a reply is not answered with another digest"
     )
 
 
-def test_aggregator_that_is_behind_asks_for_the_verdict_and_makes_none() -> None:
+def test_aggregator_with_an_outdated_verdict_requests_the_later_one_and_makes_none() -> None:
     zones = make_coordinator()
     zones.wake(zones.due_us)
-    assert zones.handle_message(SECOND, "m2", EvidenceReport("b", 1, 1, held_epoch=1)) == [
+    assert zones.handle_message(SECOND, "m2", EvidenceReport("b", 1, 1, verdict_epoch=1)) == [
         SendMessage("m2", StateDigest(zones.compute_digest(), True))
     ]
-    others = (BucketResults(0, 0), BucketResults(9, 0))
+    other_zones = (BucketResults(0, 0), BucketResults(9, 0))
     answers = {
         f"m{n}": ReceivedReport(
-            SECOND, EvidenceReport("b", 1, 5, make_failing_cells(), (), others, 1, n == 3)
+            SECOND, EvidenceReport("b", 1, 5, make_failing_cells(), (), other_zones, 1, n == 3)
         )
         for n in range(1, 6)
     }
     assert zones.decider.decide(SECOND, "b", answers) is None
-    answers["m3"] = ReceivedReport(SECOND, EvidenceReport("b", 1, 6, make_failing_cells(), (), others, 1))
+    answers["m3"] = ReceivedReport(
+        SECOND, EvidenceReport("b", 1, 6, make_failing_cells(), (), other_zones, 1)
+    )
     assert zones.decider.decide(SECOND, "b", answers) is not None
     zones.aggregator.rounds["b"] = EvidenceRound(1, SECOND, answers)
     zones.wake(SECOND)
@@ -467,13 +492,13 @@
     return tuple(EvidenceCell(2, "b", destination, 0, 2) for destination in range(3))
 
 
-def test_evidence_request_is_answered_with_the_calls() -> None:
+def test_evidence_request_is_answered_with_a_report() -> None:
     zones = make_coordinator()
     zones.evidence.record_call_started(SECOND, ("x", 0), "b", 1)
     zones.evidence.record_call_ended(SECOND + 1, ("x", 0), AttemptStatus.OK)
-    (said,) = zones.handle_message(SECOND + 2, "m2", EvidenceRequest("b", 7))
-    assert isinstance(said, SendMessage) and isinstance(said.message, EvidenceReport)
-    assert (said.recipient, said.message.request_id, said.message.cells) == (
+    (action,) = zones.handle_message(SECOND + 2, "m2", EvidenceRequest("b", 7))
+    assert isinstance(action, SendMessage) and isinstance(action.message, EvidenceReport)
+    assert (action.recipient, action.message.request_id, action.message.cells) == (
         "m2",
         7,
         (EvidenceCell(0, "b", 1, 1, 0),),
@@ -485,7 +510,7 @@
     zones.merge_sync(SECOND, make_sync(make_verdict(1)))
     assert zones.get_usage(SECOND, "b", 0) is ZoneUsage.AVOIDED
     actions = zones.set_override(SECOND, "b", False, 10 * SECOND)
-    sent = [a.message for a in actions if isinstance(a, SendMessage)]
+    sent = [action.message for action in actions if isinstance(action, SendMessage)]
     assert len(sent) == 4
     assert zones.get_usage(2 * SECOND, "b", 0) is ZoneUsage.USED
     assert zones.get_override(2 * SECOND, "b") == OperatorOverride("b", False, 1, "m1")
@@ -502,10 +527,10 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "seconds", "why"), [("x", 60, "no zone"), ("b", 0, "up to"), ("b", 10**6, "up to")]
+    ("path", "seconds", "message"), [("x", 60, "no zone"), ("b", 0, "up to"), ("b", 10**6, "up to")]
 )
-def test_invalid_override_is_rejected(path: str, seconds: int, why: str) -> None:
-    with pytest.raises(ValueError, match=why):
+def test_invalid_override_is_rejected(path: str, seconds: int, message: str) -> None:
+    with pytest.raises(ValueError, match=message):
         make_coordinator().set_override(SECOND, path, True, seconds * SECOND)
 
 
@@ -529,14 +554,16 @@
     zones.merge_sync(now, make_sync(make_verdict(2, path="r1"), age_us=40 * SECOND))
     assert zones.get_usage(now, "r1/a", 1) is ZoneUsage.USED
     zones.merge_sync(now, make_sync(make_verdict(3, path="r1/a"), age_us=20 * SECOND))
-    assert zones.get_usage(now, "r1/a", 1) is not ZoneUsage.USED, "and a later one on the zone again for that"
+    assert zones.get_usage(now, "r1/a", 1) is not ZoneUsage.USED, (
+        "a later verdict on the zone is in force again"
+    )
 
 
 def test_held_verdicts_and_overrides_are_bounded() -> None:
     zones = make_coordinator()
-    many = tuple(AgedVerdict(make_verdict(1, path=f"p{n}"), 0) for n in range(1000))
+    verdicts = tuple(AgedVerdict(make_verdict(1, path=f"p{n}"), 0) for n in range(1000))
     for first in range(0, 1000, 16):
-        zones.handle_message(SECOND, "m2", VerdictSync(many[first : first + 16]))
+        zones.handle_message(SECOND, "m2", VerdictSync(verdicts[first : first + 16]))
     assert len(zones.recoveries) == zones.config.max_paths
     assert zones.dropped_count == 1000 - zones.config.max_paths
     zones.handle_message(
@@ -546,7 +573,7 @@
             (), tuple(TimedOverride(OperatorOverride(f"p{n}", True, 1, "x"), 10**18) for n in range(9))
         ),
     )
-    assert zones.state.overrides.held == {}, "no hold is for ever"
+    assert zones.state.overrides.entries == {}, "overrides beyond the maximum duration are rejected"
 
 
 def merge_in_order(order: list[int], verdicts: list[ZoneVerdict]) -> ZoneCoordinator:
@@ -572,84 +599,91 @@
 @settings(max_examples=60, deadline=None)
 @given(verdict_lists, st.randoms(use_true_random=False))
 def test_verdicts_converge_in_any_order_and_with_duplicates(
-    verdicts: list[ZoneVerdict], chance: random.Random
+    verdicts: list[ZoneVerdict], rng: random.Random
 ) -> None:
     order = list(range(len(verdicts)))
-    other = order * 2
-    chance.shuffle(other)
-    one, two = merge_in_order(order, verdicts), merge_in_order(other, verdicts)
+    shuffled = order * 2
+    rng.shuffle(shuffled)
+    one, two = merge_in_order(order, verdicts), merge_in_order(shuffled, verdicts)
     assert one.compute_digest() == two.compute_digest()
-    assert {k: c.verdict for k, c in one.recoveries.items()} == {
-        k: c.verdict for k, c in two.recoveries.items()
+    assert {key: each.verdict for key, each in one.recoveries.items()} == {
+        key: each.verdict for key, each in two.recoveries.items()
     }
     for recovery in one.recoveries.values():
-        same = [
-            w
-            for w in verdicts
-            if (w.path, w.source_zone) == (recovery.verdict.path, recovery.verdict.source_zone)
+        competing = [
+            verdict
+            for verdict in verdicts
+            if (verdict.path, verdict.source_zone) == (recovery.verdict.path, recovery.verdict.source_zone)
         ]
-        assert recovery.verdict.precedence == max(w.precedence for w in same)
+        assert recovery.verdict.precedence == max(verdict.precedence for verdict in competing)
 
 
-# --- delays and orders
+# --- schedules and selection
 
 
-def test_probe_delays_grow_to_a_maximum_and_are_alike_everywhere() -> None:
+def test_probe_delays_grow_to_a_maximum_and_are_equal_at_all_members() -> None:
     config = ZoneConfig()
     recovery, same = ZoneRecovery(make_verdict(1), 0), ZoneRecovery(make_verdict(1), 0)
     delays_us = []
     recovery.advance_probe(0, config)
     for _ in range(30):
-        before = recovery.probe_end_us
-        recovery.advance_probe(before, config)
-        delays_us.append(recovery.probe_start_us - before)
+        previous_end_us = recovery.probe_end_us
+        recovery.advance_probe(previous_end_us, config)
+        delays_us.append(recovery.probe_start_us - previous_end_us)
     same.advance_probe(recovery.probe_start_us, config)
     assert (same.probe_round, same.probe_start_us) == (recovery.probe_round, recovery.probe_start_us), (
-        "also by one that hears of it late"
+        "a member that receives the verdict late computes the same schedule"
     )
     assert delays_us[0] > config.initial_probe_delay_us
     assert max(delays_us) <= config.max_probe_delay_us * 1.2
     assert min(delays_us[15:]) >= config.max_probe_delay_us * 0.8
-    assert len({round(wait / config.max_probe_delay_us, 6) for wait in delays_us[15:]}) > 10, "with jitter"
-    again = ZoneRecovery(make_verdict(3, relapses=2), 0)
-    again.advance_probe(0, config)
+    assert len({round(delay_us / config.max_probe_delay_us, 6) for delay_us in delays_us[15:]}) > 10, (
+        "with jitter"
+    )
+    relapsed = ZoneRecovery(make_verdict(3, relapses=2), 0)
+    relapsed.advance_probe(0, config)
     assert (
-        again.probe_start_us > 2 * ZoneRecovery(make_verdict(3), 0).probe_start_us
-        or again.probe_start_us > 8 * SECOND
+        relapsed.probe_start_us > 2 * ZoneRecovery(make_verdict(3), 0).probe_start_us
+        or relapsed.probe_start_us > 8 * SECOND
     )
 
 
 @given(st.floats(0, 1), st.floats(0, 1))
 def test_lower_rank_returns_first(one: float, other: float) -> None:
     config = ZoneConfig()
-    early, late = sorted((one, other))
-    assert 0 <= return_delay_us(early, config) <= return_delay_us(late, config) <= 1.25 * config.warm_up_us
+    lower, higher = sorted((one, other))
+    assert 0 <= return_delay_us(lower, config) <= return_delay_us(higher, config) <= 1.25 * config.warm_up_us
 
 
-def test_rendezvous_moves_only_what_a_lost_member_had() -> None:
+def test_rendezvous_replaces_only_a_lost_member() -> None:
     names = [f"m{n}" for n in range(20)]
     for purpose in range(50):
-        chosen = select_by_rendezvous(names, 3, "x", purpose)
-        without = select_by_rendezvous([n for n in names if n != chosen[0]], 3, "x", purpose)
-        assert without[:2] == chosen[1:]
-        assert select_by_rendezvous(reversed(names), 3, "x", purpose) == chosen
+        selected = select_by_rendezvous(names, 3, "x", purpose)
+        without_first = select_by_rendezvous([n for n in names if n != selected[0]], 3, "x", purpose)
+        assert without_first[:2] == selected[1:]
+        assert select_by_rendezvous(reversed(names), 3, "x", purpose) == selected
     assert 0.4 < sum(hash_fraction("x", n) for n in range(1000)) / 1000 < 0.6
 
 
-# --- evidence
+# --- evidence of calls
 
 
 def record_calls(
-    evidence: CallEvidence, at: int, zone: str, status: AttemptStatus, count: int = 1, took: int = 1000
+    evidence: CallEvidence,
+    sent_us: int,
+    zone: str,
+    status: AttemptStatus,
+    count: int = 1,
+    duration_us: int = 1000,
 ) -> None:
     for n in range(count):
-        call = (f"{at}/{zone}/{status.value}/{n}", 0)
-        evidence.record_call_started(at, call, zone, n % 2)
-        evidence.record_call_ended(at + took, call, status)
+        call_id = (f"{sent_us}/{zone}/{status.value}/{n}", 0)
+        evidence.record_call_started(sent_us, call_id, zone, n % 2)
+        evidence.record_call_ended(sent_us + duration_us, call_id, status)
 
 
-def test_calls_count_by_when_they_were_sent_and_for_a_window() -> None:
-    evidence = CallEvidence(EvidenceConfig(bucket_us=100_000, buckets=10))
+def test_calls_count_in_the_bucket_they_were_sent_and_expire() -> None:
+    evidence = CallEvidence(EvidenceConfig(bucket_us=100_000, bucket_count=10))
     evidence.record_call_started(SECOND, ("slow", 0), "a", 1)
     record_calls(evidence, SECOND + 300_000, "a", AttemptStatus.OK)
     evidence.record_call_ended(SECOND + 500_000, ("slow", 0), AttemptStatus.TIMEOUT)
@@ -664,7 +698,7 @@
     assert evidence.get_cells(3 * SECOND + 250_000, "a") == ()
 
 
-def test_member_to_which_all_zones_fail_reports_nothing() -> None:
+def test_member_whose_calls_to_all_zones_fail_reports_nothing() -> None:
     evidence = CallEvidence()
     record_calls(evidence, SECOND, "a", AttemptStatus.TIMEOUT, 5)
     assert evidence.find_failing_zones(SECOND + 2000) == ["a"]
@@ -676,25 +710,27 @@
 
 def test_late_call_counts_as_failed_before_its_timeout() -> None:
     evidence = CallEvidence()
-    record_calls(evidence, SECOND, "a", AttemptStatus.OK, 2, took=50_000)
+    record_calls(evidence, SECOND, "a", AttemptStatus.OK, 2, duration_us=50_000)
     evidence.record_call_started(2 * SECOND, ("slow", 0), "a", 1)
-    evidence.record_call_started(2 * SECOND, ("new", 0), "b", 1)  # nothing is usual there yet
-    at = 2 * SECOND + 590_000
-    assert evidence.find_failing_zones(at) == [] and evidence.get_cells(at, "a")[0].pending == 1
-    at += 20_000
-    assert evidence.find_failing_zones(at) == ["a"]
-    assert (evidence.get_cells(at, "a")[0].failures, evidence.get_cells(at, "b")[0].pending) == (1, 1)
-    evidence.record_call_ended(at + 500_000, ("slow", 0), AttemptStatus.OK)
-    assert evidence.get_cells(at + 500_000, "a")[0].failures == 1, "answered, at twenty times the usual time"
+    evidence.record_call_started(2 * SECOND, ("new", 0), "b", 1)  # no usual latency there yet
+    now = 2 * SECOND + 590_000
+    assert evidence.find_failing_zones(now) == [] and evidence.get_cells(now, "a")[0].pending == 1
+    now += 20_000
+    assert evidence.find_failing_zones(now) == ["a"]
+    assert (evidence.get_cells(now, "a")[0].failures, evidence.get_cells(now, "b")[0].pending) == (1, 1)
+    evidence.record_call_ended(now + 500_000, ("slow", 0), AttemptStatus.OK)
+    assert evidence.get_cells(now + 500_000, "a")[0].failures == 1, (
+        "an answer after twenty times the usual latency is a failure"
+    )
     for n in range(60):
         evidence.record_call_started(5 * SECOND, ("slow", n), "a", 1)
         evidence.record_call_ended(6 * SECOND, ("slow", n), AttemptStatus.OK)
-    assert evidence.get_cells(6 * SECOND, "a")[0].successes > 20, "what is slow for good is usual in the end"
+    assert evidence.get_cells(6 * SECOND, "a")[0].successes > 20, "a lasting latency becomes the usual one"
 
 
 def test_slow_zone_is_ejected() -> None:
     for seed in SEEDS:
-        fleet = play_day(
+        fleet = run_cluster(
             ClusterConfig(faults=(make_fault(status=AttemptStatus.OK, call_duration_us=1_500_000),)),
             seed,
             75.0,
@@ -715,61 +751,70 @@
 
 
 def make_cells(*rows: tuple[int, int, int, int, int]) -> Iterator[EvidenceCell]:
-    for age, destination, good, lost, out_ in rows:
-        yield EvidenceCell(age, "b", destination, good, lost, out_)
+    for age, destination, successes, failures, pending in rows:
+        yield EvidenceCell(age, "b", destination, successes, failures, pending)
 
 
-def make_pool(*origins: list[tuple[int, int, int, int, int]]) -> EvidencePool:
-    found = EvidencePool(EvidenceConfig())
-    for i, each in enumerate(origins):
-        found.add_cells(f"m{i}", make_cells(*each))
-    found.add_other_zones([BucketResults(1, 0)] * 12)
-    return found
+def make_pool(*cells_by_member: list[tuple[int, int, int, int, int]]) -> EvidencePool:
+    pool = EvidencePool(EvidenceConfig())
+    for i, rows in enumerate(cells_by_member):
+        pool.add_cells(f"m{i}", make_cells(*rows))
+    pool.add_other_zones([BucketResults(1, 0)] * 12)
+    return pool
 
 
 @pytest.mark.parametrize(
-    ("origins", "listed", "fails"),
+    ("cells_by_member", "listed_destinations", "is_failing"),
     [
-        # good before, lost since
+        # rows are age, destination, successes, failures, pending
+        # successes first, failures later
         ([[(9, 1, 50, 0, 0), (5, 1, 0, 2, 0)], [(5, 2, 0, 2, 0)]], 2, True),
-        ([[(5, 1, 0, 4, 0)], [(5, 2, 0, 1, 0), (2, 2, 9, 0, 0)]], 6, False),  # good since
+        ([[(5, 1, 0, 4, 0)], [(5, 2, 0, 1, 0), (2, 2, 9, 0, 0)]], 6, False),  # successes later
         ([[(5, 1, 0, 4, 0)], [(5, 1, 0, 4, 0)]], 6, False),  # one destination
-        ([[(5, 1, 0, 4, 0)], [(5, 1, 0, 4, 0)]], 1, True),  # that is all there is
-        ([[(5, 1, 0, 9, 0)], [(5, 2, 0, 9, 0)]], 6, False),  # two of six that are listed
-        ([[(5, 1, 0, 9, 0), (5, 3, 0, 1, 0)], [(5, 2, 0, 9, 0)]], 6, False),  # and chance at a third
-        ([[(5, 1, 0, 9, 0), (5, 3, 0, 2, 0)], [(5, 2, 0, 9, 0)]], 6, True),  # half of them
-        ([[(5, 1, 0, 99, 0), (5, 3, 0, 1, 0)], [(5, 2, 0, 1, 0)]], 6, False),  # one, and chance at others
-        ([[(5, 1, 0, 2, 0), (5, 2, 0, 2, 0)]], 2, True),  # one member, that alone could see it
-        ([[(5, 1, 0, 2, 0), (5, 2, 0, 2, 0)], []], 6, False),  # one of two
-        ([[(5, 1, 0, 1, 0)], [(5, 2, 0, 2, 0)]], 6, False),  # too few
-        # refused at once, while as many are out that may yet be served
+        ([[(5, 1, 0, 4, 0)], [(5, 1, 0, 4, 0)]], 1, True),  # the only listed destination
+        ([[(5, 1, 0, 9, 0)], [(5, 2, 0, 9, 0)]], 6, False),  # two of six listed destinations
+        # and a single failure of a third
+        ([[(5, 1, 0, 9, 0), (5, 3, 0, 1, 0)], [(5, 2, 0, 9, 0)]], 6, False),
+        ([[(5, 1, 0, 9, 0), (5, 3, 0, 2, 0)], [(5, 2, 0, 9, 0)]], 6, True),  # half of the listed destinations
+        # one, and single failures of two others
+        ([[(5, 1, 0, 99, 0), (5, 3, 0, 1, 0)], [(5, 2, 0, 1, 0)]], 6, False),
+        ([[(5, 1, 0, 2, 0), (5, 2, 0, 2, 0)]], 2, True),  # one member, the only known reporter
+        ([[(5, 1, 0, 2, 0), (5, 2, 0, 2, 0)], []], 6, False),  # one of two reporters
+        ([[(5, 1, 0, 1, 0)], [(5, 2, 0, 2, 0)]], 6, False),  # too few failures
+        # early failures with as many calls still pending
         ([[(1, 1, 0, 2, 3)], [(1, 2, 0, 2, 3)]], 6, False),
-        ([[(8, 1, 0, 2, 0), (1, 1, 0, 0, 9)], [(8, 2, 0, 2, 0)]], 2, True),  # out since later
-        ([[(8, 1, 0, 9, 0), (1, 1, 2, 0, 0)], [(8, 2, 0, 9, 0)]], 2, False),  # served since the last loss
-        ([[(8, 1, 0, 9, 0), (1, 1, 2, 0, 9)], [(8, 2, 0, 9, 0)]], 2, True),  # a few of many are
+        # pending calls after the last failure
+        ([[(8, 1, 0, 2, 0), (1, 1, 0, 0, 9)], [(8, 2, 0, 2, 0)]], 2, True),
+        # successes after the last failure
+        ([[(8, 1, 0, 9, 0), (1, 1, 2, 0, 0)], [(8, 2, 0, 9, 0)]], 2, False),
+        # a few successes, many calls pending
+        ([[(8, 1, 0, 9, 0), (1, 1, 2, 0, 9)], [(8, 2, 0, 9, 0)]], 2, True),
     ],
 )
 def test_failure_assessment(
-    origins: list[list[tuple[int, int, int, int, int]]], listed: int, fails: bool
+    cells_by_member: list[list[tuple[int, int, int, int, int]]], listed_destinations: int, is_failing: bool
 ) -> None:
-    assert assess_failure(make_pool(*origins), listed, len(origins)).is_failing is fails
+    assert (
+        assess_failure(make_pool(*cells_by_member), listed_destinations, len(cells_by_member)).is_failing
+        is is_failing
+    )
 
 
-def test_zone_fails_only_if_other_zones_served_since() -> None:
+def test_zone_fails_only_if_calls_to_other_zones_succeeded_during_the_failure() -> None:
     failing = [[(5, 1, 0, 2, 0)], [(5, 2, 0, 2, 0)]]
     assert assess_failure(make_pool(*failing), 2, 2).is_failing
-    for elsewhere, fails in (
-        ([(0, 0)] * 6 + [(9, 0)], False),  # served before only
-        ([(0, 0)] * 5 + [(1, 0)], False),  # in the bucket in which it began: before that, for all we know
+    for other_results, is_failing in (
+        ([(0, 0)] * 6 + [(9, 0)], False),  # successes before the failure only
+        ([(0, 0)] * 5 + [(1, 0)], False),  # in the bucket in which the failure began
         ([(0, 0)] * 4 + [(1, 0)], True),
-        ([(9, 0)], False),  # after the last loss
+        ([(9, 0)], False),  # after the last failure
         ([(0, 0)] * 4 + [(2, 3)], False),
         ([(0, 0)] * 4 + [(3, 2)], True),
     ):
-        found = make_pool(*failing)
-        found.other_zones.clear()
-        found.add_other_zones([BucketResults(*each) for each in elsewhere])
-        assert assess_failure(found, 2, 2).is_failing is fails
+        pool = make_pool(*failing)
+        pool.other_zones.clear()
+        pool.add_other_zones([BucketResults(*each) for each in other_results])
+        assert assess_failure(pool, 2, 2).is_failing is is_failing
 
 
 def test_network_path_needs_more_failures_than_a_zone() -> None:
@@ -777,9 +822,9 @@
     more = [[(5, 1, 0, 2, 0), (5, 3, 0, 2, 0)], [(5, 2, 0, 2, 0), (5, 4, 0, 2, 0)]]
     assert (
         assess_failure(make_pool(*few), 6, 2).is_failing
-        and not assess_failure(make_pool(*few), 6, 2, is_path=True).is_failing
+        and not assess_failure(make_pool(*few), 6, 2, is_network_path=True).is_failing
     )
-    assert assess_failure(make_pool(*more), 6, 2, is_path=True).is_failing
+    assert assess_failure(make_pool(*more), 6, 2, is_network_path=True).is_failing
 
 
 def test_zone_paths() -> None:
@@ -789,19 +834,19 @@
 
 
 @pytest.mark.parametrize(
-    "wrong", [{"failure_ratio": 0.4}, {"buckets": 0}, {"failing_destination_ratio": 1.5}]
+    "options", [{"failure_ratio": 0.4}, {"bucket_count": 0}, {"failing_destination_ratio": 1.5}]
 )
-def test_invalid_evidence_config_is_rejected(wrong: dict[str, Any]) -> None:
+def test_invalid_evidence_config_is_rejected(options: dict[str, Any]) -> None:
     with pytest.raises(ValueError):
-        EvidenceConfig(**wrong)
+        EvidenceConfig(**options)
 
 
 @pytest.mark.parametrize(
-    "wrong", [{"recovery_margin": 0.0}, {"probe_backoff_factor": 0.5}, {"aggregators": 0}]
+    "options", [{"recovery_margin": 0.0}, {"probe_backoff_factor": 0.5}, {"aggregator_count": 0}]
 )
-def test_invalid_zone_config_is_rejected(wrong: dict[str, Any]) -> None:
+def test_invalid_zone_config_is_rejected(options: dict[str, Any]) -> None:
     with pytest.raises(ValueError):
-        ZoneConfig(**wrong)
+        ZoneConfig(**options)
 
 
 def test_verdict_is_logged_with_its_evidence() -> None:
@@ -809,7 +854,7 @@
     actions = zones.merge_sync(
         SECOND, make_sync(make_verdict(1, successes=1, failures=9, votes=3, known_members=5))
     )
-    (note,) = [a for a in actions if isinstance(a, ZoneLogEvent)]
-    fields = dict(note.fields)
-    assert (note.event, note.path) == ("zone_ejected", "b")
+    (event,) = [action for action in actions if isinstance(action, ZoneLogEvent)]
+    fields = dict(event.fields)
+    assert (event.event, event.path) == ("zone_ejected", "b")
     assert (fields["successes"], fields["failures"], fields["votes"], fields["known_members"]) == (1, 9, 3, 5)
