--- a/honeybarrow/fleet/zone_aggregator.py
+++ b/honeybarrow/fleet/zone_aggregator.py
@@ -156,6 +156,7 @@
                 self._first_suspected_us.pop(path, None)
 
     def _start_round(self, now: int, path: str) -> None:
+        """Request evidence on a path from all other live members and add this member's own report."""
         self._request_count += 1
         own_name = self.quorum.own_name
         round_ = self.rounds[path] = EvidenceRound(self._request_count, now)
@@ -168,6 +169,7 @@
         self.actions.log("zone_evidence_requested", path, members=len(round_.requested_us) + 1)
 
     def _end_round(self, now: int, path: str, round_: EvidenceRound, missing_answers: int) -> None:
+        """End a round without a verdict and delay the next one on its path."""
         del self.rounds[path]
         undecided_rounds = self._backoffs.get(path, _RoundBackoff()).undecided_rounds + 1
         until_us = now + self.config.round_backoff_us * min(undecided_rounds, 4)
--- a/honeybarrow/fleet/zone_config.py
+++ b/honeybarrow/fleet/zone_config.py
@@ -26,9 +26,7 @@
     bucket_us: int = 250_000
     bucket_count: int = 12  # buckets in the window
     min_failures: int = 4  # total over all members
-    min_network_path_failures: int = (
-        8  # total over one zone's members, for a failure of the network path from there
-    )
+    min_network_path_failures: int = 8  # total over the members of the zone from which the path fails
     # Failures of one destination that count towards min_failures, so that a single destination that is down
     # does not look like a failing zone. If fewer destinations than needed reach this number, one more
     # destination has to fail.
--- a/honeybarrow/fleet/zone_coordinator.py
+++ b/honeybarrow/fleet/zone_coordinator.py
@@ -227,6 +227,7 @@
     # --- internals
 
     def _report_evidence(self, now: int) -> None:
+        """Send a report on each path with failures or probe calls to the aggregators."""
         paths = self.reporter.list_paths(now)
         aggregators = self.quorum.select_aggregators() if paths else []
         for path in paths:
@@ -250,6 +251,7 @@
             self._actions.send(name, message)
 
     def _merge(self, now: int, sender: str, sync: VerdictSync) -> None:
+        """Apply newer verdicts and overrides; send this member's state to a sender with older ones."""
         is_sender_behind = False
         for aged in sync.verdicts[: self.config.max_sync_entries]:
             match self.state.verdicts.compare(aged.verdict):
@@ -269,6 +271,7 @@
             self._actions.send(sender, self.create_sync(now))
 
     def _publish(self, now: int, verdict: ZoneVerdict) -> None:
+        """Apply a verdict made here and send it to all live members."""
         self._apply_verdict(now, verdict, 0)
         self._broadcast(VerdictSync((AgedVerdict(verdict, 0),)))
 
--- a/honeybarrow/fleet/zone_verdict.py
+++ b/honeybarrow/fleet/zone_verdict.py
@@ -156,6 +156,7 @@
         return self._make_verdict(verdict, answers, assessment, eject=True)
 
     def _count_relapses(self, now: int, previous: ZoneRecovery | None) -> int:
+        """Return the number of successive ejections that followed soon after a return."""
         if previous is None:
             return 0
         settled_us = previous.compute_return_us(1.0, self.config) + self.config.relapse_window_us
@@ -240,6 +241,7 @@
         return total.successes > 1 and total.successes > total.failures
 
     def _has_failures(self, now: int, path: str, reports: Reports) -> bool:
+        """Return whether the reports contain a failure since the last verdict on a path."""
         pool = self._pool_reports(now, path, reports)
         return pool.count_since(self.evidence_config.bucket_count).failures > 0
 
--- a/honeybarrow/fleet/zone_view.py
+++ b/honeybarrow/fleet/zone_view.py
@@ -88,6 +88,7 @@
         return ZoneStatus.PROBING if recovery.is_probe_running(now) else ZoneStatus.EJECTED
 
     def _apply_verdict(self, now: int, recovery: ZoneRecovery, destination: int) -> ZoneUsage:
+        """Return how this member uses a destination under one verdict."""
         verdict, own_name = recovery.verdict, self.quorum.own_name
         if not verdict.is_ejected:
             rank = hash_fraction("back", verdict.path, verdict.source_zone, verdict.epoch, own_name)
