--- a/honeybarrow/addressing/__init__.py
+++ b/honeybarrow/addressing/__init__.py
@@ -1,1 +1,1 @@
-"""How an endpoint is reached: addresses and their health, the connection race, the egress policy."""
+"""Endpoint addresses and their health, the connection race between them, and the egress policy."""
--- a/honeybarrow/addressing/address.py
+++ b/honeybarrow/addressing/address.py
@@ -1,4 +1,4 @@
-"""Addresses of endpoints: where they listen, and how they are listed."""
+"""Network addresses of endpoints."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def parse_host_port(text: str) -> tuple[str, int] | None:
-    """Read ``host:port``; nothing if it is none."""
+    """Parse ``host:port``; return ``None`` if the text is malformed."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         return None
@@ -17,10 +17,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Where an endpoint listens: host and port, or the path of a Unix socket.
+    """An address on which an endpoint listens: host and port, or the path of a Unix socket.
 
-    Lower priorities come first. Of one priority those of the forwarder's own zone do; weights, where they
-    differ, share the calls among the rest. Addresses of one ``machine`` share its fate.
+    Addresses with a lower ``priority`` are tried first. Within a priority, addresses in the forwarder's own
+    zone are tried first; among the others, calls are distributed by ``weight`` if the weights differ.
+    Addresses with the same ``machine`` are assumed to fail together.
     """
 
     host: str = ""
@@ -34,12 +35,12 @@
 
     @property
     def socket_key(self) -> tuple[str, int, str]:
-        """What it leads to; the rest of an address is how it is listed."""
+        """The part that identifies the socket; the other fields only affect the order."""
         return self.host, self.port, self.path
 
     @property
     def family(self) -> str:
-        """``unix``, ``ipv6`` or ``ipv4``."""
+        """Address family: ``unix``, ``ipv6`` or ``ipv4``."""
         if self.path:
             return "unix"
         return "ipv6" if ":" in self.host else "ipv4"
--- a/honeybarrow/addressing/address_health.py
+++ b/honeybarrow/addressing/address_health.py
@@ -1,10 +1,13 @@
-"""The order of an endpoint's addresses, and what is learned of each. No I/O, no clock: times in microseconds.
+"""Tracks the health of endpoint addresses and ranks the addresses of an endpoint.
 
-The policy chooses the endpoint; this chooses among its addresses within one attempt and one slot, and never
-delays or overrides a retry wait, a drain or a slow start. Sources: RFC 6724 5 and 6 (what of the order
-applies between literal addresses), RFC 8305 4 (interleaving of families) and 5 (the connection attempt
-delay), RFC 2782 (priority and weight). What is done with the order in one attempt is in
-``honeybarrow/addressing/connection_race.py``.
+Performs no I/O and reads no clock; the caller passes the current time in microseconds.
+
+The policy chooses the endpoint. This module only orders the addresses of that endpoint within one attempt; it
+never delays or overrides a retry wait, a drain or a slow start. The connection race
+(``honeybarrow/addressing/connection_race.py``) applies the order.
+
+Sources: RFC 6724 sections 5 and 6 (the rules that apply to literal addresses), RFC 8305 sections 4
+(interleaving of address families) and 5 (connection attempt delay), RFC 2782 (priority and weight).
 """
 
 from __future__ import annotations
@@ -18,28 +21,28 @@
 from honeybarrow.addressing.address import Address
 
 SECOND = 1_000_000
-DEFAULT_CONNECT_DELAY_US = 250_000  # before a second connect (RFC 8305 5), till connects have been measured
-MIN_CONNECT_DELAY_US, MAX_CONNECT_DELAY_US = 100_000, 2 * SECOND  # RFC 8305 8
-CONNECT_DELAY_FACTOR = 3.0  # of the usual connect: one that takes longer is likely not to come
-LATENCY_WEIGHT = 0.2  # of the newest measurement in the moving average
-SIMILAR_LATENCY_FACTOR = 2.0  # connect times within it are alike, or the order would flap with noise
-MIN_BACKOFF_US, BACKOFF_FACTOR, MAX_BACKOFF_US = 500_000, 2.0, 60 * SECOND  # after a failed connect, growing
-NO_FINAL_REPLY_BACKOFF_US = 5 * SECOND  # messages go in, no reply comes: each attempt may cost one its answer
+DEFAULT_CONNECT_DELAY_US = 250_000  # connection attempt delay without measurements (RFC 8305 section 5)
+MIN_CONNECT_DELAY_US, MAX_CONNECT_DELAY_US = 100_000, 2 * SECOND  # RFC 8305 section 8
+CONNECT_DELAY_FACTOR = 3.0  # multiple of the average connect time
+LATENCY_WEIGHT = 0.2  # weight of the newest measurement in the moving average
+SIMILAR_LATENCY_FACTOR = 2.0  # ratio of two latency steps; noise within a step does not change the order
+MIN_BACKOFF_US, BACKOFF_FACTOR, MAX_BACKOFF_US = 500_000, 2.0, 60 * SECOND
+NO_FINAL_REPLY_BACKOFF_US = 5 * SECOND  # first backoff of an address that accepts messages without a reply
 BACKOFF_JITTER = 0.25
-MAX_RECORD_AGE_US = 300 * SECOND  # what was learned of an address and not renewed is forgotten
+MAX_RECORD_AGE_US = 300 * SECOND  # records that are not updated for this long are dropped
 MAX_RECORDS = 10_000
-MAX_PENDING_CONNECTS = 2  # at once for one call
-REPLY_TIMEOUT_FACTOR = 5.0  # usual replies: one that takes longer is likely not to come
+MAX_PENDING_CONNECTS = 2  # per call
+REPLY_TIMEOUT_FACTOR = 5.0  # multiple of the average reply time
 MIN_REPLY_TIMEOUT_US, DEFAULT_REPLY_TIMEOUT_US = 300_000, SECOND
-KEEP_ALIVE_FRACTION = 0.8  # of the idle time after which a partner closed: kept no longer than that
-KEEP_ALIVE_GROWTH = 1.25  # of that time, whenever a connection was idle so long and was not closed
+KEEP_ALIVE_FRACTION = 0.8  # fraction of the partner's observed idle timeout
+KEEP_ALIVE_GROWTH = 1.25  # growth of the idle timeout estimate when a connection outlives it
 MIN_KEEP_ALIVE_US = 100_000
-MAX_BACKOFF_DOUBLINGS = 20  # enough to reach the bound, few enough not to overflow
-FAMILIES = ("unix", "ipv6", "ipv4")  # RFC 6724 2.1 prefers IPv6; a Unix socket has no network in between
+MAX_BACKOFF_DOUBLINGS = 20  # bounds the exponent; the backoff reaches its maximum well before
+FAMILIES = ("unix", "ipv6", "ipv4")  # in order of preference (RFC 6724 section 2.1 for IPv6 over IPv4)
 
 
 class AddressFailure(enum.Enum):
-    """How an address failed."""
+    """The way in which an address failed."""
 
     UNREACHABLE = "no connection"
     NO_GREETING = "accepted, not greeted"
@@ -50,13 +53,13 @@
 
     @property
     def concerns_machine(self) -> bool:
-        """Whether it says something of what listens there, not only of the path to it."""
+        """Whether the failure affects the machine behind the address, and not only the path to it."""
         return self is not AddressFailure.UNREACHABLE
 
 
 @dataclass(frozen=True, slots=True)
 class RankedAddress:
-    """An address in the order in which it is tried, and why it stands there."""
+    """An address and the reason for its position in the ranking."""
 
     address: Address
     reason: str
@@ -64,23 +67,23 @@
 
 @dataclass(slots=True)
 class _AddressRecord:
-    """What is remembered of an address, or of a machine."""
+    """Measurements and backoff of an address or a machine."""
 
-    connect_time_us: float = 0.0  # from connect to introduction
-    reply_time_us: float = 0.0  # from the end of data to the reply
+    connect_time_us: float = 0.0  # average time from connect to the accepted EHLO or LHLO; 0 if unknown
+    reply_time_us: float = 0.0  # average time from the end of data to the final reply; 0 if unknown
     failure_count: int = 0
     backoff_until_us: int = 0
     updated_us: int = 0
-    machine: str = ""  # told by a greeting
-    idle_limit_us: int = 0  # how long the partner keeps a connection idle, where it was seen to close one
+    machine: str = ""  # machine name taken from a greeting
+    idle_limit_us: int = 0  # estimated idle timeout of the partner; 0 if unknown
 
 
 class AddressHealth:
-    """What one forwarder has learned of its partners' addresses. ``zone`` is the forwarder's own.
+    """Health records of partners' addresses, kept by one forwarder.
 
-    ``cold_period_us``: how long after a failed call a partner may be warming up still, and gets no second
-    connect. ``on_result`` is told of every connect and failure: address, what came of it, and the time of a
-    connect.
+    ``zone`` is the zone of the forwarder. For ``cold_period_us`` after a failed call an endpoint may still be
+    warming up and gets no concurrent second connect. ``on_result`` is called after every connect and failure
+    with the address, the result, and the connect time in microseconds (0 for a failure).
     """
 
     def __init__(
@@ -95,35 +98,35 @@
         self._last_failed_call_us: OrderedDict[str, int] = OrderedDict()  # by target
 
     def rank_addresses(self, now: int, addresses: Sequence[Address]) -> list[RankedAddress]:
-        """All addresses, each once, in the order in which to try them: none is ever left out."""
+        """Return every address exactly once, in the order in which to try them."""
         unique = {a.socket_key: a for a in reversed(addresses)}
         ranked = sorted(
             reversed(unique.values()), key=lambda a: (*self._get_rank(a), FAMILIES.index(a.family))
         )
         ready = [a for a in ranked if self.get_backoff_until_us(now, a) <= now]
         in_backoff = [a for a in ranked if self.get_backoff_until_us(now, a) > now]
-        # Danger: where all of a machine back off, the one that failed itself must not come before the others.
+        # If all addresses of a machine are in backoff, the one that failed itself comes last.
         in_backoff.sort(key=lambda a: (self.get_backoff_until_us(now, a), self._get_failure_count(a)))
-        found: list[Address] = []
+        ordered: list[Address] = []
         for rank in sorted({self._get_rank(a) for a in ready}):
-            found += self._interleave([a for a in ready if self._get_rank(a) == rank])
-        return [RankedAddress(a, self._explain_rank(a)) for a in found] + [
+            ordered += self._interleave([a for a in ready if self._get_rank(a) == rank])
+        return [RankedAddress(a, self._explain_rank(a)) for a in ordered] + [
             RankedAddress(a, self._explain_backoff(now, a)) for a in in_backoff
         ]
 
     def get_backoff_until_us(self, now: int, address: Address) -> int:
-        """Until when an address, or the machine it leads to, backs off from a failure; 0 if it does not."""
+        """Return the end of the backoff of an address and its machine; 0 if there is none."""
         record = self._find(now, address.socket_key)
         machine = self._find(now, self.get_machine(address)) if self.get_machine(address) else None
         return max(record.backoff_until_us if record else 0, machine.backoff_until_us if machine else 0)
 
     def get_machine(self, address: Address) -> str:
-        """The name of the machine behind an address: as listed, or else as it greeted; or empty."""
+        """Return the machine name from the endpoint list, else from the greeting, else an empty string."""
         record = self._records.get(address.socket_key)
         return address.machine or (record.machine if record else "")
 
     def compute_connect_delay_us(self, now: int, address: Address) -> int:
-        """How long its connect may take before another address is tried beside it (RFC 8305 5)."""
+        """Return the delay after which another address is tried concurrently (RFC 8305 section 5)."""
         record = self._find(now, address.socket_key)
         if record is None or not record.connect_time_us:
             return DEFAULT_CONNECT_DELAY_US
@@ -131,21 +134,20 @@
         return int(min(MAX_CONNECT_DELAY_US, delay_us))
 
     def get_connect_time_us(self, now: int, address: Address) -> float:
-        """The usual time from connect to introduction there, 0 where it is not known."""
+        """Return the average time from connect to the accepted EHLO or LHLO; 0 if unknown."""
         record = self._find(now, address.socket_key)
         return record.connect_time_us if record else 0.0
 
     def can_race(self, now: int, target: str) -> bool:
-        """Whether a second connect may go to this endpoint beside the first.
+        """Return whether the endpoint may get a second connect concurrently with the first.
 
-        Danger: a second connect to a partner that is warming up or has a full connection table is load that
-        it can't bear, and it is cold for longer than till its first answer. So only where no call failed in
-        the cold period.
+        It may not within the cold period after a failed call: extra connects would overload a partner that is
+        warming up or whose connection table is full, and a partner stays cold beyond its first answer.
         """
         return self._last_failed_call_us.get(target, -self.cold_period_us) <= now - self.cold_period_us
 
     def record_call_result(self, now: int, target: str, is_answered: bool) -> None:
-        """A call to an endpoint ended: with an answer to its message, or without."""
+        """Record whether a call to an endpoint ended with an answer to its message."""
         if not is_answered:
             self._last_failed_call_us[target] = now
             self._last_failed_call_us.move_to_end(target)
@@ -155,7 +157,7 @@
             self._last_failed_call_us.pop(target, None)
 
     def record_connected(self, now: int, address: Address, elapsed_us: int) -> None:
-        """A server greeted there and took the introduction, so long after the connect."""
+        """Record that a server accepted EHLO or LHLO, ``elapsed_us`` after the start of the connect."""
         record = self._get_or_create(now, address.socket_key)
         record.failure_count, record.backoff_until_us = 0, 0
         weight = LATENCY_WEIGHT if record.connect_time_us else 1.0
@@ -165,9 +167,10 @@
         self.on_result(address, "connected", elapsed_us)
 
     def record_greeting(self, now: int, address: Address, target: str, name: str) -> None:
-        """The name that a server gave (RFC 5321 4.2) tells which addresses of an endpoint are one machine.
+        """Record the server name from a greeting (RFC 5321 section 4.2), which identifies its machine.
 
-        Danger: machines of two partners may both call themselves localhost; so it binds one endpoint's only.
+        The name is scoped to the endpoint, since servers of different partners may share a name such as
+        localhost.
         """
         record = self._get_or_create(now, address.socket_key)
         record.machine = f"{target} {name}" if name else ""
@@ -175,7 +178,7 @@
     def record_failure(
         self, now: int, address: Address, failure: AddressFailure = AddressFailure.UNREACHABLE
     ) -> None:
-        """An address failed: it backs off, longer each time; so does its machine if that is at fault."""
+        """Record a failure and start a growing backoff of the address, and of its machine if affected."""
         names: list[object] = [address.socket_key]
         if failure.concerns_machine and (machine := self.get_machine(address)):
             names.append(machine)
@@ -191,7 +194,7 @@
         self.on_result(address, failure.value, 0)
 
     def record_reply(self, now: int, address: Address, elapsed_us: int) -> None:
-        """A message had its final reply there, so long after the end of data."""
+        """Record the final reply to a message, ``elapsed_us`` after the end of data."""
         record = self._get_or_create(now, address.socket_key)
         record.failure_count, record.backoff_until_us = 0, 0
         weight = LATENCY_WEIGHT if record.reply_time_us else 1.0
@@ -200,10 +203,10 @@
             self._records.pop(machine, None)
 
     def compute_reply_timeout_us(self, now: int, address: Address) -> int:
-        """How long after the end of data an address is taken to be healthy without a reply.
+        """Return how long after the end of data an address counts as healthy without a reply.
 
-        Danger: a non-idempotent message waits for its reply till its timeout. Without this sign hundreds
-        would follow it to an address that accepts messages and says nothing.
+        A non-idempotent message waits for its reply until its timeout. Without this earlier limit, many more
+        messages would be sent to an address that accepts messages and never replies.
         """
         record = self._find(now, address.socket_key)
         if record is None or not record.reply_time_us:
@@ -211,32 +214,32 @@
         return int(max(MIN_REPLY_TIMEOUT_US, REPLY_TIMEOUT_FACTOR * record.reply_time_us))
 
     def forget(self, address: Address) -> None:
-        """The address belongs to another endpoint now: what was learned is of another machine."""
+        """Drop the record of an address that now belongs to another endpoint."""
         self._records.pop(address.socket_key, None)
 
-    # how long an idle connection is kept
+    # Keep-alive of idle connections.
 
     def compute_keep_alive_us(self, address: Address, max_us: int) -> int:
-        """How long to keep an idle connection there: under the time after which its partner closes it."""
+        """Return how long to keep an idle connection: less than its partner's observed idle timeout."""
         record = self._records.get(address.socket_key)
         if record is None or not record.idle_limit_us:
             return max_us
         return min(max_us, max(MIN_KEEP_ALIVE_US, int(record.idle_limit_us * KEEP_ALIVE_FRACTION)))
 
     def record_idle_close(self, now: int, address: Address, idle_us: int) -> None:
-        """The partner closed a connection that had been idle for so long."""
+        """Record that the partner closed a connection that had been idle for ``idle_us``."""
         record = self._get_or_create(now, address.socket_key)
         record.idle_limit_us = min(record.idle_limit_us or idle_us, max(1, idle_us))
 
     def record_idle_survival(self, now: int, address: Address, idle_us: int) -> None:
-        """A connection was idle for so long and the partner had not closed it: it may keep them longer."""
+        """Raise the idle timeout estimate if a connection stayed open for nearly that long."""
         record = self._records.get(address.socket_key)
         if record is None or not record.idle_limit_us:
             return
         if idle_us >= record.idle_limit_us * KEEP_ALIVE_FRACTION * 0.99:
             record.idle_limit_us = int(record.idle_limit_us * KEEP_ALIVE_GROWTH)
 
-    # inner
+    # Ranking.
 
     def _get_rank(self, address: Address) -> tuple[int, bool]:
         is_foreign = bool(self.zone and address.zone and address.zone != self.zone)
@@ -247,9 +250,12 @@
         return record.failure_count if record else 0
 
     def _interleave(self, ranked: list[Address]) -> list[Address]:
-        """The quickest family first, then one of each (RFC 8305 4); by weight where weights differ."""
+        """Alternate between address families (RFC 8305 section 4), or draw by weight if weights differ.
+
+        The family with the fastest address comes first. All addresses must have the same rank.
+        """
         if len({a.weight for a in ranked}) > 1:
-            # A draw by weight (RFC 2782): the least of exponential times, the quicker the heavier.
+            # Weighted random order (RFC 2782): sort by exponential variates with the weights as rates.
             drawn = {a.socket_key: self.rng.expovariate(1.0) / (a.weight or 1e-3) for a in ranked}
             return sorted(ranked, key=lambda a: drawn[a.socket_key])
         families: dict[str, list[Address]] = {}
@@ -261,7 +267,10 @@
         return [row[i] for i in range(max(map(len, rows))) for row in rows if i < len(row)]
 
     def _get_latency_step(self, address: Address) -> int:
-        """Connect times in steps, so that noise does not change the order; unknown ones come first."""
+        """Return the connect time on a logarithmic scale, so that noise does not change the order.
+
+        Addresses with an unknown connect time are in step 0.
+        """
         record = self._records.get(address.socket_key)
         connect_time_us, step = record.connect_time_us if record is not None else 0.0, 0
         while connect_time_us > MIN_CONNECT_DELAY_US / 10 * SIMILAR_LATENCY_FACTOR**step:
@@ -285,7 +294,7 @@
         failures = self._get_failure_count(address)
         machine = self.get_machine(address)
         cause = f"failed {failures} times" if failures else f"its machine {machine} failed"
-        return f"{cause}, rests {backoff_s:.1f} s"
+        return f"{cause}, in backoff for {backoff_s:.1f} s"
 
     def _find(self, now: int, name: object) -> _AddressRecord | None:
         record = self._records.get(name)
--- a/honeybarrow/addressing/egress_policy.py
+++ b/honeybarrow/addressing/egress_policy.py
@@ -1,8 +1,8 @@
-"""Which addresses a partner may name: a list must not direct a forwarder anywhere. No I/O, no reactor.
+"""The egress policy: restricts the addresses that the endpoint list may contain.
 
-A literal address is allowed if it lies in the networks that the settings allow and in none that they deny, in
-its partner's own networks if the list names any, and in no other partner's. Unix sockets lie in no network;
-where they may lie, the settings say by directory.
+An IP address is allowed if it is in a network that the settings allow and in none that they deny, in one of
+its partner's own networks if the list defines any, and not in a network of another partner. A Unix socket is
+allowed if it is inside one of the configured directories.
 """
 
 from __future__ import annotations
@@ -16,52 +16,51 @@
 from honeybarrow.addressing.address import Address
 from honeybarrow.admission.identity import parse_networks
 
-BEYOND_ANY_ADDRESS = 1 << 130  # sorts after each last address of a range
+ABOVE_ANY_ADDRESS = 1 << 130  # greater than every IPv6 address
 
 
 class PartnerNetworks:
-    """The networks of all partners, by their number. Raises ``ValueError`` for what can't be read."""
+    """The networks of all partners, by partner number. Raises ``ValueError`` for an invalid network."""
 
     def __init__(self, partners: Mapping[int, Sequence[str]]) -> None:
-        found: list[tuple[int, int, int, int]] = []  # family, first, last, partner
+        ranges: list[tuple[int, int, int, int]] = []  # IP version, first, last, partner number
         self._partners_with_networks: dict[int, None] = {}
         for number, texts in partners.items():
             if not texts:
                 continue
             self._partners_with_networks[number] = None
-            ranges = parse_networks(texts).iter_ipranges()
-            found.extend((part.version, part.first, part.last, number) for part in ranges)
-        self._ranges = sorted(found)
-        # the furthest end of all ranges up to each one, to know where no earlier one can reach an address
-        self._furthest_ends: list[tuple[int, int]] = []
+            ip_ranges = parse_networks(texts).iter_ipranges()
+            ranges.extend((each.version, each.first, each.last, number) for each in ip_ranges)
+        self._ranges = sorted(ranges)
+        # The running maximum of the range ends, which tells a lookup when no earlier range can match.
+        self._max_ends: list[tuple[int, int]] = []
         for version, _, last, _ in self._ranges:
-            furthest = (version, last)
-            self._furthest_ends.append(
-                max(furthest, self._furthest_ends[-1]) if self._furthest_ends else furthest
-            )
+            end = (version, last)
+            self._max_ends.append(max(end, self._max_ends[-1]) if self._max_ends else end)
 
     def find_owners(self, host: str) -> list[int]:
-        """The partners in whose networks an address lies."""
+        """Return the numbers of the partners whose networks contain an address."""
         address = IPAddress(host)
         key = (address.version, int(address))
-        found = []
-        index = bisect.bisect_right(self._ranges, (*key, BEYOND_ANY_ADDRESS, 0)) - 1
-        while index >= 0 and self._furthest_ends[index] >= key:
+        owners = []
+        index = bisect.bisect_right(self._ranges, (*key, ABOVE_ANY_ADDRESS, 0)) - 1
+        while index >= 0 and self._max_ends[index] >= key:
             version, first, last, number = self._ranges[index]
             if version == key[0] and first <= key[1] <= last:
-                found.append(number)
+                owners.append(number)
             index -= 1
-        return sorted(found)
+        return sorted(owners)
 
     def has_networks(self, number: int) -> bool:
-        """Whether a partner has networks of its own."""
+        """Return whether the list defines networks for a partner."""
         return number in self._partners_with_networks
 
 
 class EgressPolicy:
-    """What the settings allow. Raises ``ValueError`` for networks that can't be read.
+    """The networks and socket directories that the settings allow.
 
-    ``allows_shared``: whether a partner may name addresses in another one's networks.
+    With ``allows_shared`` a partner may have addresses in the networks of other partners. Raises
+    ``ValueError`` for an invalid network.
     """
 
     def __init__(
@@ -75,21 +74,21 @@
         self._socket_directories, self._allows_shared = tuple(socket_directories), allows_shared
 
     def find_violation(self, address: Address, partner: int, networks: PartnerNetworks) -> str:
-        """Why a partner may not name this address; empty if it may."""
+        """Return why a partner must not use an address, or an empty string if it may."""
         if address.path:
             return self._find_socket_violation(address.path)
         try:
-            found = IPAddress(address.host)
+            ip_address = IPAddress(address.host)
         except (AddrFormatError, ValueError):
             return "not a literal address"
-        if found.version == 6 and found.is_ipv4_mapped():
-            # Danger: ::ffff:10.0.0.1 reaches a network that is denied under its other name.
-            found = found.ipv4()
-        if found in self._denied:
-            return "in a network that is refused"
-        if found not in self._allowed:
-            return "in no network that is allowed"
-        owners = networks.find_owners(str(found))
+        if ip_address.version == 6 and ip_address.is_ipv4_mapped():
+            # An IPv4-mapped address such as ::ffff:10.0.0.1 must not bypass a denied IPv4 network.
+            ip_address = ip_address.ipv4()
+        if ip_address in self._denied:
+            return "in a denied network"
+        if ip_address not in self._allowed:
+            return "not in an allowed network"
+        owners = networks.find_owners(str(ip_address))
         if networks.has_networks(partner) and partner not in owners:
             return "outside the partner's own networks"
         if owners and partner not in owners and not self._allows_shared:
@@ -97,7 +96,7 @@
         return ""
 
     def _find_socket_violation(self, path: str) -> str:
-        clean = posixpath.normpath(path)
-        # Danger: a path with .. in it leads out of a directory that it begins with.
-        inside = [clean.startswith(posixpath.normpath(each) + "/") for each in self._socket_directories]
-        return "" if any(inside) else "a socket outside the directories that are allowed"
+        normalized = posixpath.normpath(path)
+        # Comparing the normalized path prevents ".." from leaving an allowed directory.
+        matches = [normalized.startswith(posixpath.normpath(each) + "/") for each in self._socket_directories]
+        return "" if any(matches) else "socket outside the allowed directories"
--- a/honeybarrow/delivery/__init__.py
+++ b/honeybarrow/delivery/__init__.py
@@ -1,6 +1,6 @@
-"""The delivery core: messages in flight, attempts and their outcomes, connections by mail.
+"""The delivery core: messages in flight, attempts and their outcomes, SMTP and LMTP connections.
 
-Fronts enter by :meth:`Forwarder.submit`.
+Fronts submit messages with :meth:`Forwarder.submit`.
 """
 
 from honeybarrow.delivery.connection_pool import MailConnectionPool, PoolConfig
--- a/honeybarrow/delivery/attempts.py
+++ b/honeybarrow/delivery/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: from the policy's decision to send to the outcome that goes back to it."""
+"""Runs delivery attempts that the policy has decided on and reports their outcomes to it."""
 
 from __future__ import annotations
 
@@ -16,28 +16,29 @@
 from honeybarrow.message_guard import Refusal
 from honeybarrow.message_state import MessageState
 
-KEY_RESTING_STATUSES = (AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED)
+# Statuses after which a message may still take effect, so that its order key pauses.
+KEY_COOLDOWN_STATUSES = (AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED)
 NOT_RECORDED_REASON = "its start can't be recorded"
 
 
 @dataclass(slots=True)
 class InFlightMessage:
-    """A message from its arrival until it is completed and no attempt of it is in flight."""
+    """State of a message, kept until it is completed and none of its attempts is in flight."""
 
     submission: Submission
     result: Deferred[DeliveryResult]
     submitted_us: int
     attempts: int = 0
     attempts_in_flight: int = 0
-    time_in_calls_us: int = 0  # the rest of its time it waited
+    time_in_calls_us: int = 0  # total duration of its finished attempts
     is_completed: bool = False
-    is_withdrawn: bool = False  # its client is gone: nobody reads the result
-    is_ambiguous: bool = False  # an attempt that has ended may have run
+    is_withdrawn: bool = False  # the client has disconnected and no longer expects the result
+    is_ambiguous: bool = False  # a finished attempt may have been executed by the partner
     last_outcome: AttemptOutcome | None = None
 
     @property
     def state(self) -> MessageState:
-        """State of the message, for the log."""
+        """State of the message as shown in log lines."""
         if self.is_completed:
             return MessageState.ENDING
         if self.attempts_in_flight:
@@ -47,13 +48,13 @@
         return MessageState.WAITING if self.attempts else MessageState.ACCEPTED
 
     def time_left_us(self, now_us: int) -> int:
-        """Return the time until its result is due; negative if that has passed."""
+        """Return the microseconds until the result is due; negative once it is overdue."""
         return self.submission.time_left_us - (now_us - self.submitted_us)
 
 
 @dataclass(frozen=True, slots=True)
 class MessagePermit:
-    """Permission to write one attempt, see :class:`honeybarrow.ports.AttemptPermit`; the policy decides."""
+    """Permission to write one attempt; implements :class:`honeybarrow.ports.AttemptPermit`."""
 
     context: DeliveryContext
     message: InFlightMessage
@@ -62,11 +63,11 @@
     deadline_us: int
 
     def time_left_us(self) -> int:
-        """For how long its last byte may still be written; negative if it may not."""
+        """Return the microseconds in which the attempt may still be written; negative if none are left."""
         return self.deadline_us - self.context.now_us()
 
     def refusal_reason(self) -> str:
-        """Why no byte of it may be written now; empty if it may."""
+        """Return why the attempt must not be written now, or an empty string if it may be."""
         if self.message.is_completed:
             return Refusal.ENDED.value
         if self.time_left_us() < 0:
@@ -78,13 +79,19 @@
         return "" if refusal is None else refusal.value
 
     def record_start(self) -> str:
-        """Log that the attempt begins, right before its first byte; why it may not, empty if it may."""
-        # Danger: logged earlier, while its connection is still to come up, a start says of a call that was
-        # never written that it may have run: the next incarnation would fail a non-idempotent one untried.
+        """Check the permission and record the start, immediately before the first byte is written.
+
+        Return why the attempt must not start, or an empty string if it may.
+        """
+        # Recorded earlier, a start could belong to a call that was never written: after a restart, a
+        # non-idempotent message would be failed as ambiguous although it was never sent.
         return self.refusal_reason() or self.record_permitted_start()
 
     def record_permitted_start(self) -> str:
-        """Log that the attempt begins, which was permitted just now; why it may not, empty if it may."""
+        """Record the start of an attempt whose permission has just been checked.
+
+        Return why the attempt must not start, or an empty string if it may.
+        """
         name = self.message.submission.message
         self.context.guard.on_attempt_started(name, self.target, self.context.now_us())
         is_repeatable = self.context.is_idempotent(self.message.submission.class_name)
@@ -95,7 +102,7 @@
 
 
 class AttemptRunner:
-    """Carries out attempts. ``on_finished`` gets the message, its outcome, and the event for the policy."""
+    """Runs attempts; calls ``on_finished`` with the message, its outcome and the event for the policy."""
 
     def __init__(
         self,
@@ -106,16 +113,19 @@
         self.calls_in_flight = 0
 
     def start(self, message: InFlightMessage, action: SendAttempt, decided_us: int, is_logged: bool) -> None:
-        """Start an attempt decided at ``decided_us``; ``is_logged``: the turn's records are written."""
+        """Start an attempt that the policy decided on at ``decided_us``.
+
+        ``is_logged`` tells whether the log records of the current turn have been written.
+        """
         context = self.context
         attempt, message.attempts = message.attempts, message.attempts + 1
         message.attempts_in_flight += 1
         addresses = context.get_addresses(action.target)
-        # Counted from the decision: what has passed since in a long turn is gone.
+        # The start window counts from the decision, so that time spent in a long turn is deducted.
         permit = MessagePermit(context, message, attempt, action.target, decided_us + action.start_within_us)
         no_slot_free = self.calls_in_flight >= context.settings.slots
         reason = "no slot" if no_slot_free else permit.refusal_reason() or ("" if addresses else "no address")
-        # Danger: an attempt whose start is not on disk is taken for one that never was, and repeated.
+        # After a restart, an attempt whose start was not recorded would be repeated.
         if not is_logged and not context.is_idempotent(message.submission.class_name):
             reason = reason or NOT_RECORDED_REASON
         if reason:
@@ -144,10 +154,10 @@
         payload = message.submission.payload
         try:
             call = context.transport.call(action.target, addresses, payload, action.timeout_us, permit)
-        except Exception as error:  # a transport that raises has lost the call, whatever it is
+        except Exception as error:  # an error of the transport ends only this call
             call = fail(error)
-        known = (message, attempt, action.target, started_us)
-        call.addCallbacks(self._on_call_finished, self._on_call_crashed, known, {}, known, {})
+        callback_args = (message, attempt, action.target, started_us)
+        call.addCallbacks(self._on_call_finished, self._on_call_crashed, callback_args, {}, callback_args, {})
         call.addErrback(self._on_handler_crashed)
 
     def _on_call_finished(
@@ -162,7 +172,7 @@
         self.calls_in_flight -= 1
         self.context.log.error("call_crashed", error=failure.getErrorMessage())
         state = self.context.guard.state_of(message.submission.message)
-        not_run = state is not MessageState.IN_FLIGHT  # its first byte was never permitted
+        not_run = state is not MessageState.IN_FLIGHT  # no byte of the attempt was permitted
         outcome = AttemptOutcome(AttemptStatus.RESET, not_run, reason="fault")
         self._record_outcome(message, attempt, target, started_us, outcome)
 
@@ -199,8 +209,8 @@
             time_left_us=message.time_left_us(context.now_us()),
         )
         completes = outcome.status is AttemptStatus.OK or outcome.is_completed
-        now_us, rests_key = context.now_us(), outcome.status in KEY_RESTING_STATUSES
-        context.guard.on_attempt_finished(name, now_us, outcome.not_run, completes, rests_key)
+        now_us, needs_key_cooldown = context.now_us(), outcome.status in KEY_COOLDOWN_STATUSES
+        context.guard.on_attempt_finished(name, now_us, outcome.not_run, completes, needs_key_cooldown)
         context.guard.on_retry_after(target, now_us, outcome.retry_after_us)
         context.message_log.record_attempt_finished(name, attempt, outcome.status, outcome.not_run)
         event = AttemptFinished(
--- a/honeybarrow/delivery/connection_pool.py
+++ b/honeybarrow/delivery/connection_pool.py
@@ -1,10 +1,12 @@
-"""Connections to partners' endpoints by mail: opened as calls need them, reused, closed when idle.
+"""A pool of SMTP and LMTP connections to partners' endpoints.
 
-A call gets the idle connection that was used last, or new ones, among the endpoint's addresses as
-``honeybarrow.addressing.connection_race`` says. It ends exactly once: by its reply, by the loss of its
-connection, or by its timeout. No address is tried twice in a call, also not where an idle connection turns
-out to be closed: the outcome says that the call did not run, and the policy decides. A call begun anew here
-could run into a retry wait that was advised meanwhile.
+A call reuses the most recently used idle connection of its endpoint, or opens new ones in the order given by
+``honeybarrow.addressing.connection_race``. It ends exactly once: with a reply, with the loss of its
+connection, or with a timeout.
+
+A call tries no address twice, even if a reused connection turns out to be closed. Its outcome then states
+that the message was not executed, and the policy decides whether to retry: a retry inside the pool could
+violate a retry wait received in the meantime.
 """
 
 from __future__ import annotations
@@ -27,7 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolConfig:
-    """Bounds: idle connections of one endpoint, seconds to connect and greet, seconds to keep one idle."""
+    """Limits of a connection pool.
+
+    ``connect_timeout_s`` covers the connect and the greeting; an unused connection is closed after
+    ``idle_timeout_s``.
+    """
 
     max_idle_per_endpoint: int = 8
     connect_timeout_s: float = 1.0
@@ -35,7 +41,11 @@
 
 
 class MailConnectionPool:
-    """The connections of all endpoints. ``name`` is what EHLO says, ``on_connect_started`` gets targets."""
+    """Opens, reuses and closes the connections to all endpoints.
+
+    ``name`` is the client name sent with EHLO or LHLO. ``on_connect_started`` is called with the target of
+    each new connection.
+    """
 
     def __init__(
         self,
@@ -54,7 +64,7 @@
         self.idle_by_target: dict[str, list[MailConnection]] = {}
 
     def now_us(self) -> int:
-        """The clock in microseconds."""
+        """Return the time of the pool's clock in microseconds."""
         return int(self.clock.seconds() * 1e6)
 
     def call(
@@ -65,21 +75,25 @@
         timeout_us: int,
         permit: AttemptPermit,
     ) -> Deferred[AttemptOutcome]:
-        """Carry a payload to an endpoint; its outcome, exactly one, within the timeout."""
+        """Send a payload to an endpoint; the result fires with its outcome within the timeout."""
         call = MailCall(self, target, addresses, payload, timeout_us, permit)
         self.calls_by_target.setdefault(target, []).append(call)
         call.start(self._take_idle(target, addresses))
         return call.result
 
     def on_call_finished(self, call: MailCall) -> None:
-        """A call has its outcome."""
+        """Remove a call that has its outcome."""
         calls = self.calls_by_target[call.target]
         calls.remove(call)
         if not calls:
             del self.calls_by_target[call.target]
 
     def update_addresses(self, addresses_by_target: Mapping[str, Sequence[Address]]) -> None:
-        """These endpoints have these addresses now, none if they are gone: leave all others."""
+        """Apply the current addresses of the given endpoints; an empty sequence means it was removed.
+
+        Idle connections to other addresses of these endpoints are closed, and calls that are not yet
+        committed leave them.
+        """
         for target, addresses in addresses_by_target.items():
             keys = {address.socket_key: None for address in addresses}
             for connection in list(self.idle_by_target.get(target, ())):
@@ -89,7 +103,7 @@
                 call.on_addresses_changed(addresses)
 
     def _take_idle(self, target: str, addresses: Sequence[Address]) -> MailConnection | None:
-        """The connection used last, of an address that is not in backoff if there is one."""
+        """Return the most recently used idle connection, preferring addresses that are not in backoff."""
         now, found = self.now_us(), None
         keys = {(address.socket_key, address.is_lmtp): None for address in addresses}
         for connection in reversed(self.idle_by_target.get(target, [])):
@@ -105,17 +119,20 @@
         return found
 
     def open_connection(self, connection: MailConnection) -> None:
-        """Begin a connect for a call."""
+        """Start connecting on behalf of a call."""
         address = connection.address
         self.on_connect_started(connection.target)
-        timeout_s = self.connect_timeout_s + 1  # the call gives it up before
+        timeout_s = self.connect_timeout_s + 1  # a fallback; the call's own timeout comes first
         if address.path:
             self.reactor.connectUNIX(address.path, Connector(connection), timeout=timeout_s)
         else:
             self.reactor.connectTCP(address.host, address.port, Connector(connection), timeout=timeout_s)
 
     def add_idle(self, connection: MailConnection) -> None:
-        """Keep an idle connection for the next call, within the bounds and for less than its partner does."""
+        """Keep a connection for the next call, for less time than its partner keeps it open.
+
+        If the endpoint now has too many idle connections, one is closed, preferably to an address in backoff.
+        """
         idle = self.idle_by_target.setdefault(connection.target, [])
         idle.append(connection)
         connection.idle_since_us = self.now_us()
@@ -133,13 +150,13 @@
         connection.close()
 
     def on_closed_by_partner(self, connection: MailConnection) -> None:
-        """Learn how long a partner keeps what is idle, if this connection was."""
+        """Record after which idle time a partner closed the connection, if it was idle."""
         if connection in self.idle_by_target.get(connection.target, ()):
             now = self.now_us()
             self.address_health.record_idle_close(now, connection.address, now - connection.idle_since_us)
 
     def remove_idle(self, connection: MailConnection) -> None:
-        """A connection is no longer idle."""
+        """Remove a connection from the idle ones and cancel its idle timer."""
         if connection.idle_timer is not None and connection.idle_timer.active():
             connection.idle_timer.cancel()
         connection.idle_timer = None
@@ -150,11 +167,11 @@
                 del self.idle_by_target[connection.target]
 
     def close_idle(self, target: str) -> None:
-        """Close the idle connections to an endpoint; calls in flight go on."""
+        """Close the idle connections to an endpoint; calls in flight continue."""
         for connection in list(self.idle_by_target.get(target, ())):
             connection.close()
 
     def close_all_idle(self) -> None:
-        """Close all idle connections."""
+        """Close the idle connections to all endpoints."""
         for target in list(self.idle_by_target):
             self.close_idle(target)
--- a/honeybarrow/delivery/connector.py
+++ b/honeybarrow/delivery/connector.py
@@ -1,4 +1,4 @@
-"""A Twisted client factory for one connection that was made beforehand."""
+"""A Twisted client factory for a single, existing protocol instance."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Connector(ClientFactory):
-    """Connects one protocol; one that never comes up is told so by its ``connectionLost``."""
+    """Connects the given protocol and reports a failed connect to its ``connectionLost``."""
 
     noisy = False
 
@@ -17,9 +17,9 @@
         self.connection = connection
 
     def buildProtocol(self, addr: Any) -> Protocol:
-        """Twisted: the protocol for the connection that came up."""
+        """Return the protocol for the established connection (Twisted callback)."""
         return self.connection
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        """Twisted: the connect failed."""
+        """Report a failed connect to the protocol (Twisted callback)."""
         self.connection.connectionLost(reason)
--- a/honeybarrow/delivery/forwarder.py
+++ b/honeybarrow/delivery/forwarder.py
@@ -1,8 +1,8 @@
-"""The forwarder: drives one policy :class:`honeybarrow.policy.sender.Sender` and carries out what it decides.
+"""The forwarder: passes events to the policy :class:`honeybarrow.policy.sender.Sender` and runs its actions.
 
-Events of one reactor turn go to the policy together; its actions are carried out in order. The forwarder owns
-the messages in flight, the slots and the transport, and decides nothing of what the policy decides. Reactor,
-clock, monotonic time and randomness are handed in.
+The events of one reactor turn are passed to the policy together, and its actions are executed in order. The
+forwarder owns the messages in flight, the call slots and the transport; all delivery decisions are made by
+the policy. Clock, monotonic time and the random seed are passed in by the caller.
 """
 
 from __future__ import annotations
@@ -70,14 +70,15 @@
 }
 
 
-def _ignore(*_: object) -> None: ...
+def _do_nothing(*_: object) -> None: ...
 
 
 class Forwarder:
     """The delivery core of one process.
 
-    ``get_addresses`` tells where a target listens, ``request_membership`` asks the register, ``on_crash`` is
-    told of a policy that raised. ``max_stall_us``: see :class:`honeybarrow.message_guard.MessageGuard`.
+    ``get_addresses`` returns the addresses of a target, ``request_membership`` requests the endpoint list,
+    and ``on_crash`` is called with an exception raised by the policy. For ``max_stall_us`` see
+    :class:`honeybarrow.message_guard.MessageGuard`.
     """
 
     def __init__(
@@ -123,30 +124,31 @@
         self._attempts = AttemptRunner(self.context, self._on_attempt_finished)
         self._pending_events: list[Event] = []
         self._arrived_this_turn: list[InFlightMessage] = []
-        self._is_turn_logged = True  # the records of this turn are written
+        self._is_turn_logged = True  # whether the log records of this turn have been written
         self._is_turn_scheduled = False
         self._messages: dict[str, InFlightMessage] = {}
         self._open_count = self._last_turn_us = 0
-        # called for a withdrawn message, with its attempts in flight and whether one that ended is ambiguous;
-        # and when its last attempt has ended
-        self.on_withdrawn: Callable[[str, int, bool], None] = _ignore
-        self.on_last_attempt_finished: Callable[[str, AttemptOutcome, bool], None] = _ignore
-        self.on_turn_finished: Callable[[], object] = _ignore
-        self._completed: list[str] = []  # to be removed at the end of the next turn
+        # Called with a withdrawn message, its number of attempts in flight, and whether it is ambiguous.
+        self.on_withdrawn: Callable[[str, int, bool], None] = _do_nothing
+        # Called with a withdrawn message, the outcome of its last attempt, and whether it is ambiguous.
+        self.on_last_attempt_finished: Callable[[str, AttemptOutcome, bool], None] = _do_nothing
+        self.on_turn_finished: Callable[[], object] = _do_nothing
+        self._completed: list[str] = []  # messages to remove at the end of the next turn
         self._drain_waiters: list[Deferred[None]] = []
 
-    # submissions
+    # Submissions.
 
     def submit(self, submission: Submission) -> Deferred[DeliveryResult]:
-        """Accept a message; its one final result. Cancelling it withdraws the message.
+        """Accept a message and return a Deferred that fires with its final result.
 
-        Raises :class:`InvalidValueError` for an id that is in flight already and for an unknown class.
+        Cancelling the Deferred withdraws the message. Raises :class:`InvalidValueError` if a message of this
+        id is already in flight or its class is unknown.
         """
         name = submission.message
         if name in self._messages:
-            raise InvalidValueError(f"message {name!r} is held already")
+            raise InvalidValueError(f"message {name!r} is already in flight")
         if submission.class_name not in self.sender.classes:
-            raise InvalidValueError(f"unknown class {submission.class_name!r}")
+            raise InvalidValueError(f"unknown message class {submission.class_name!r}")
         result: Deferred[DeliveryResult] = Deferred(lambda _: self._withdraw(name))
         if self._open_count >= self.settings.max_open and not submission.is_resumed:
             self.counters.rejected += 1
@@ -157,7 +159,7 @@
         message = InFlightMessage(submission, result, self.now_us(), submission.attempts)
         message.is_ambiguous = submission.ambiguous_age_us is not None
         self._messages[name] = message
-        self._open_account(submission, message.submitted_us)
+        self._register_with_guard(submission, message.submitted_us)
         self._arrived_this_turn.append(message)
         self._open_count += 1
         self.counters.accepted += 1
@@ -173,7 +175,7 @@
         self._queue_event(submission.make_event())
         return result
 
-    def _open_account(self, submission: Submission, now_us: int) -> None:
+    def _register_with_guard(self, submission: Submission, now_us: int) -> None:
         age_us = submission.ambiguous_age_us
         self.guard.on_accepted(
             submission.message,
@@ -186,30 +188,30 @@
         )
 
     def set_log_availability(self, is_available: bool) -> None:
-        """Tell the policy whether the log of messages can be written."""
+        """Report to the policy whether the message log can be written."""
         self._queue_event(LogAvailability(is_available))
 
     def is_known(self, message: str) -> bool:
-        """Whether a message of this id is open, or an attempt of it is in flight."""
+        """Return whether a message of this id is open or still has an attempt in flight."""
         return message in self._messages
 
     def apply_membership_update(self, update: MembershipUpdate) -> None:
-        """Tell the policy of a change of the endpoint list."""
+        """Apply a change of the endpoint list to the guard and the policy."""
         self.guard.on_endpoint_list(update)
         self._queue_event(update)
 
     @property
     def open_count(self) -> int:
-        """Messages whose final result is due."""
+        """Number of messages that have no final result yet."""
         return self._open_count
 
     @property
     def calls_in_flight(self) -> int:
-        """Calls whose outcome is not known yet."""
+        """Number of calls that have no outcome yet."""
         return self._attempts.calls_in_flight
 
     def wait_until_drained(self) -> Deferred[None]:
-        """Fires when no final result is due."""
+        """Return a Deferred that fires when every accepted message has its final result."""
         done: Deferred[None] = Deferred()
         if self._open_count == 0:
             done.callback(None)
@@ -217,7 +219,7 @@
             self._drain_waiters.append(done)
         return done
 
-    # turns
+    # Turns: the policy handles the events that were queued during one reactor iteration.
 
     def _queue_event(self, event: Event) -> None:
         self._pending_events.append(event)
@@ -228,25 +230,25 @@
     def _run_turn(self) -> None:
         self._is_turn_scheduled = False
         events, self._pending_events = self._pending_events, []
-        # Danger: a clock that steps back would end the process by the policy's own check.
+        # The policy raises if time runs backwards.
         now = self._last_turn_us = max(self._last_turn_us, self.now_us())
-        # A busy reactor comes to a message late; its time has run since it was submitted, not since now.
         events = [self._adjust_for_queueing(e, now) if isinstance(e, MessageArrived) else e for e in events]
         try:
             actions = self.sender.handle(now, events)
-        except Exception as error:  # whatever it is, the process ends in order
+        except Exception as error:  # any error of the policy leads to an orderly shutdown
             self._on_policy_error(error)
             return
         self._commit_turn(actions)
         for action in actions:
             try:
                 self._execute(action)
-            except Exception as error:  # whatever it is, the other actions of the turn are carried out
+            except Exception as error:  # an error in one action does not stop the other actions of the turn
                 self._on_action_failed(action, error)
-        # Only now: a result given above may withdraw a message that a later action of this turn names.
+        # Messages are removed after all actions, since a later action of this turn may still refer to one
+        # that was completed or withdrawn above.
         completed, self._completed = self._completed, []
         for name in completed:
-            message = self._messages.get(name)  # named twice if it was sent, too late, in this turn
+            message = self._messages.get(name)  # None if the message was listed twice
             if message is not None and message.attempts_in_flight == 0:
                 del self._messages[name]
         self.on_turn_finished()
@@ -255,7 +257,7 @@
         self.log.error("action_failed", action=type(action).__name__, error=repr(error))
 
     def _on_policy_error(self, error: Exception) -> None:
-        """The policy raised: nothing that is open can be decided any more, and the process has to end."""
+        """Fail all open messages after the policy raised, and report the crash."""
         self.log.error("policy_failed", error=f"{type(error).__name__}: {error}")
         self.fail_all("internal fault")
         self.on_crash(error)
@@ -271,7 +273,7 @@
         )
 
     def _commit_turn(self, actions: list[Action]) -> None:
-        """Before anything of this turn leaves: log what was accepted and what ended, then acknowledge it."""
+        """Log the messages accepted in this turn, then acknowledge them, before any action is executed."""
         arrived, self._arrived_this_turn = self._arrived_this_turn, []
         completed = {a.message: None for a in actions if isinstance(a, ReturnToClient | FailPermanently)}
         accepted = [m for m in arrived if not m.is_completed and m.submission.message not in completed]
@@ -284,17 +286,18 @@
                 if self.guard.may_acknowledge(message.submission.message) is None:
                     message.submission.on_accepted()
             elif not message.submission.is_resumed:
-                # Danger: acknowledged all the same, it would be lost with the process. Nothing of it is sent.
+                # An acknowledged message that is not on disk would be lost if the process crashed.
                 self._complete(message, NotRecorded(self._draw_retry_after_us(), "it can't be recorded"))
                 self._queue_event(MessageExpired(message.submission.message))
 
     def _adjust_for_queueing(self, event: MessageArrived, now: int) -> MessageArrived:
+        """Deduct the time between submission and this turn, which is long when the reactor is busy."""
         message = self._messages.get(event.message)
         if message is None:
             return event
-        passed = now - message.submitted_us
-        age_us = None if event.ambiguous_age_us is None else event.ambiguous_age_us + passed
-        return replace(event, time_left_us=event.time_left_us - passed, ambiguous_age_us=age_us)
+        queued_us = now - message.submitted_us
+        age_us = None if event.ambiguous_age_us is None else event.ambiguous_age_us + queued_us
+        return replace(event, time_left_us=event.time_left_us - queued_us, ambiguous_age_us=age_us)
 
     def _execute(self, action: Action) -> None:
         match action:
@@ -319,7 +322,7 @@
     def _draw_retry_after_us(self) -> int:
         return compute_retry_after_us(0, self.settings.max_retry_after_us, self.rng)
 
-    # results
+    # Results.
 
     def _on_attempt_finished(
         self, message: InFlightMessage, outcome: AttemptOutcome, event: AttemptFinished
@@ -334,14 +337,14 @@
                 self.on_last_attempt_finished(event.message, outcome, message.is_ambiguous)
 
     def _complete(self, message: InFlightMessage, result: DeliveryResult) -> None:
-        """Give the final result; nothing else does."""
+        """Deliver the final result of a message. All results pass through this method."""
         if message.is_completed:
             return
         name = message.submission.message
         if (refusal := self.guard.may_end(name, _RESULT_OF_TYPE[type(result)])) is not None:
             if refusal is Refusal.ENDED:
                 return
-            result = Failed(refusal.value)  # the safe side: it promises nothing
+            result = Failed(refusal.value)  # the only result that makes no claim about the effect
         state_before = message.state
         message.is_completed = True
         self._open_count -= 1
@@ -366,7 +369,10 @@
         self._notify_if_drained()
 
     def _withdraw(self, name: str) -> None:
-        """The client is gone: no new attempt; those in flight go on (``docs/mail.md``)."""
+        """Stop new attempts of a message whose client is gone; attempts in flight continue.
+
+        See ``docs/mail.md``.
+        """
         message = self._messages.get(name)
         if message is None or message.is_completed:
             return
@@ -401,16 +407,16 @@
 
     def _notify_if_drained(self) -> None:
         if self._open_count == 0:
-            waiting, self._drain_waiters = self._drain_waiters, []
-            for done in waiting:
+            waiters, self._drain_waiters = self._drain_waiters, []
+            for done in waiters:
                 done.callback(None)
 
     def fail_all(self, reason: str) -> None:
-        """Complete every open message as failed: nothing can be promised any more."""
+        """Complete every open message as failed, for the given reason."""
         for message in list(self._messages.values()):
             self._complete(message, Failed(reason))
 
 
 def ignore_cancelled(failure: Failure) -> None:
-    """Errback for the Deferred of a message that was withdrawn on purpose."""
+    """Ignore the cancellation of a message that was withdrawn; use as an errback of its Deferred."""
     failure.trap(CancelledError)  # type: ignore[no-untyped-call]
--- a/honeybarrow/delivery/mail_call.py
+++ b/honeybarrow/delivery/mail_call.py
@@ -1,7 +1,8 @@
-"""One call to a partner's endpoint by mail: from the pool's promise to its one outcome.
+"""A single SMTP or LMTP call to a partner's endpoint.
 
-The connection race (``honeybarrow.addressing.connection_race``) says what to connect and close; the call
-carries that out, writes the transaction on the connection that won, and ends exactly once.
+The connection race (``honeybarrow.addressing.connection_race``) decides which connections to open and close.
+The call executes these decisions, writes the mail transaction on the winning connection, and ends exactly
+once with an outcome.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MailPayload:
-    """What a call carries. The content is shared between attempts and recipients, never copied."""
+    """Envelope and content of a message. The content is shared between attempts and recipients."""
 
     sender: mail.Path
     recipient: mail.Path
@@ -45,25 +46,25 @@
 
 
 class CallOwner(ConnectionOwner, Protocol):
-    """The connection pool, as a call knows it."""
+    """The interface of the connection pool that a call uses."""
 
     address_health: AddressHealth
 
     def now_us(self) -> int:
-        """The clock in microseconds."""
+        """Return the time of the pool's clock in microseconds."""
         ...
 
     def open_connection(self, connection: MailConnection) -> None:
-        """Begin a connect."""
+        """Start connecting."""
         ...
 
     def on_call_finished(self, call: MailCall) -> None:
-        """The call has its outcome."""
+        """Handle the end of a call."""
         ...
 
 
 class MailCall:
-    """One call. ``result`` fires with its one outcome, within ``timeout_us``."""
+    """One call to an endpoint; ``result`` fires with its outcome within ``timeout_us``."""
 
     def __init__(
         self,
@@ -83,14 +84,14 @@
             pool.address_health, target, addresses, now, self.deadline_us, connect_timeout_us
         )
         self.connections: dict[int, MailConnection] = {}
-        self.last_failure: AttemptOutcome | None = None  # of the connection that failed last
-        self.is_started = False  # a transaction was
+        self.last_failure: AttemptOutcome | None = None  # of the most recent failed connection
+        self.is_started = False  # whether a transaction has been started
         self.is_finished = False
         self.timer: DelayedCall | None = None
         self.timer_due_us = -1
 
     def start(self, idle: MailConnection | None) -> None:
-        """Begin on an idle connection, or with the first connect."""
+        """Start the call on an idle connection, or open the first connection if ``idle`` is ``None``."""
         now = self.pool.now_us()
         if idle is None:
             self._execute(self.race.start(now))
@@ -98,12 +99,12 @@
         self.pool.address_health.record_idle_survival(now, idle.address, now - idle.idle_since_us)
         idle.call, idle.number = self, self.race.reuse_connection(now, idle.address)
         self.connections[idle.number] = idle
-        if self._begin_unless(self.permit.record_permitted_start(), idle):
+        if self._start_unless_refused(self.permit.record_permitted_start(), idle):
             idle.flush()
             self._execute([])
 
     def _execute(self, actions: Sequence[RaceAction]) -> None:
-        """Carry out what the race says, and set the timer that it wants."""
+        """Execute the actions of the connection race and set its timer."""
         for action in actions:
             match action:
                 case OpenConnection(number, address):
@@ -112,8 +113,8 @@
                     self.pool.open_connection(opened)
                 case CloseConnection(number):
                     if (connection := self.connections.pop(number, None)) is not None:
-                        # Danger: the reply to this call may still come; on a connection used again it
-                        # would be taken for the next call's. So the connection goes with the call.
+                        # The connection must not be reused: a late reply to this call would be taken
+                        # for the reply to the next one.
                         connection.call = None
                         connection.close(abort=True)
                 case FailAttempt(failure):
@@ -146,11 +147,11 @@
             self.finish(classify_timeout(False, False))
 
     def on_connected(self, connection: MailConnection) -> None:
-        """The connection is up; nobody has greeted yet."""
+        """Handle an established connection, before the server's greeting."""
         self.race.on_connected(connection.number)
 
     def on_greeting(self, connection: MailConnection, data: bytes) -> bool:
-        """A server wrote: whether this connection carries the call."""
+        """Handle data from a server; return whether this connection carries the call."""
         if connection.number == self.race.winner:
             return True
         name = data[4:].split(b" ")[0].decode("ascii", "replace").strip() if data[:3] == b"220" else ""
@@ -158,24 +159,24 @@
         return not self.is_finished and connection.number == self.race.winner
 
     def on_session_ready(self, connection: MailConnection) -> None:
-        """The session is ready: write the transaction."""
+        """Write the transaction on a session that is ready, if the attempt is still permitted."""
         self.race.on_session_ready(self.pool.now_us(), connection.number)
-        # Danger: while it was reached the endpoint may have drained or advised a wait, and a key's window may
-        # have ended: a transaction now would be new work.
-        self._begin_unless(self.permit.record_start(), connection)
+        # During the connect the endpoint may have started to drain or advised a retry wait, or the window of
+        # the idempotency key may have ended.
+        self._start_unless_refused(self.permit.record_start(), connection)
 
-    def _begin_unless(self, reason: str, connection: MailConnection) -> bool:
-        """Write the transaction unless there is a reason against it; whether it was written."""
-        if reason:
+    def _start_unless_refused(self, refusal_reason: str, connection: MailConnection) -> bool:
+        """Write the transaction if ``refusal_reason`` is empty; return whether it was written."""
+        if refusal_reason:
             connection.call = None
-            self.finish(AttemptOutcome(AttemptStatus.NOT_SENT, True, reason=reason))
+            self.finish(AttemptOutcome(AttemptStatus.NOT_SENT, True, reason=refusal_reason))
             self.pool.add_idle(connection)
             return False
         self._write_transaction(connection)
         return True
 
     def on_content_withheld(self, connection: MailConnection) -> None:
-        """The content may not be written any more; nothing of it was."""
+        """End the call as not sent, because its time ended before any content was written."""
         connection.call = None
         self.finish(AttemptOutcome(AttemptStatus.NOT_SENT, True, reason="too late for the end of data"))
         connection.close(abort=True)
@@ -187,7 +188,7 @@
         connection.session.send(payload.sender, payload.recipient, payload.content, time_left_s)
 
     def on_progress(self, connection: MailConnection) -> None:
-        """Replies came, and the call has no outcome yet."""
+        """Handle replies that did not end the call."""
         if self.is_started and connection.session.is_committed:
             self.race.on_content_written(self.pool.now_us())
         else:
@@ -196,7 +197,10 @@
             self._set_timer()
 
     def on_session_refused(self, connection: MailConnection, reply: mail.Reply) -> None:
-        """The session was refused: a retry wait binds the whole endpoint, else another address is tried."""
+        """Handle a refused session: end the call if a retry wait was advised, else try another address.
+
+        A retry wait applies to all addresses of the endpoint.
+        """
         self.last_failure = classify_session_refusal(reply)
         if self.last_failure.retry_after_us:
             self.pool.address_health.record_failure(
@@ -207,7 +211,7 @@
             self._report_connection_failure(connection, AddressFailure.SESSION_REFUSED)
 
     def on_connection_lost(self, connection: MailConnection, reason: str) -> None:
-        """The connection is gone: past the end of data that is the outcome, else another address is tried."""
+        """Handle the loss of a connection: end the call after the end of data, else try another address."""
         is_committed = connection.session.is_committed and self.is_started
         self.last_failure = classify_connection_loss(self.is_started, is_committed, reason)
         if is_committed and connection.number == self.race.winner:
@@ -228,14 +232,14 @@
         self._execute(self.race.on_connection_failed(self.pool.now_us(), connection.number, failure))
 
     def on_addresses_changed(self, addresses: Sequence[Address]) -> None:
-        """The endpoint has these addresses now."""
+        """Apply the current addresses of the endpoint."""
         if not self.is_finished:
             reason = "the address is no longer the endpoint's"
             self.last_failure = classify_connection_loss(self.is_started, False, reason)
             self._execute(self.race.on_addresses_changed(self.pool.now_us(), addresses))
 
     def finish(self, outcome: AttemptOutcome) -> None:
-        """End with this outcome, unless it has one, and close what is still pending."""
+        """End the call with an outcome and close its pending connections; ignored after the first time."""
         if self.is_finished:
             return
         self.is_finished = True
@@ -249,7 +253,7 @@
                 connection.call = None
                 connection.close(abort=True)
         self.connections.clear()
-        if outcome.status is not AttemptStatus.NOT_SENT:  # which says nothing of the endpoint
+        if outcome.status is not AttemptStatus.NOT_SENT:  # otherwise the endpoint was not involved
             is_answered = outcome.status in (AttemptStatus.OK, AttemptStatus.REJECTED)
             self.pool.address_health.record_call_result(self.pool.now_us(), self.target, is_answered)
         self.pool.on_call_finished(self)
--- a/honeybarrow/delivery/mail_connection.py
+++ b/honeybarrow/delivery/mail_connection.py
@@ -1,7 +1,7 @@
-"""One SMTP or LMTP connection to a partner's endpoint, from connect to close, as a Twisted protocol.
+"""A Twisted protocol for one SMTP or LMTP connection to a partner's endpoint.
 
-It owns the session (``honeybarrow.mail``) and passes what happens on it to the call that it carries and to
-the connection pool, which it knows by the two protocols here.
+The connection owns its mail session (``honeybarrow.mail``). It reports events to its current call and to the
+connection pool, through the interfaces :class:`CallHandler` and :class:`ConnectionOwner`.
 """
 
 from __future__ import annotations
@@ -19,60 +19,63 @@
 
 
 class CallHandler(Protocol):
-    """The call that a connection carries, as the connection knows it."""
+    """The interface of the current call that a connection uses."""
 
     permit: AttemptPermit
 
     def on_connected(self, connection: MailConnection) -> None:
-        """The connection is up; nobody has greeted yet."""
+        """Handle an established connection, before the server's greeting."""
         ...
 
     def on_greeting(self, connection: MailConnection, data: bytes) -> bool:
-        """A server wrote: whether this connection carries the call."""
+        """Handle data from a server; return whether this connection carries the call."""
         ...
 
     def on_session_ready(self, connection: MailConnection) -> None:
-        """The session is ready for a transaction."""
+        """Handle a session that is ready for a transaction."""
         ...
 
     def on_progress(self, connection: MailConnection) -> None:
-        """Replies came, and the call has no outcome yet."""
+        """Handle replies that did not end the call."""
         ...
 
     def on_content_withheld(self, connection: MailConnection) -> None:
-        """The content may not be written any more; nothing of it was."""
+        """Handle content that must no longer be written; none of it has been."""
         ...
 
     def on_session_refused(self, connection: MailConnection, reply: mail.Reply) -> None:
-        """The server refused the session."""
+        """Handle a session that the server refused."""
         ...
 
     def on_connection_lost(self, connection: MailConnection, reason: str) -> None:
-        """The connection is gone, or never came up, or the server broke the protocol."""
+        """Handle a lost connection, a failed connect, or a protocol violation of the server."""
         ...
 
     def finish(self, outcome: AttemptOutcome) -> None:
-        """The call has its outcome."""
+        """End the call with its outcome."""
         ...
 
 
 class ConnectionOwner(Protocol):
-    """The connection pool, as a connection knows it. ``name`` is what EHLO says."""
+    """The interface of the connection pool that a connection uses.
+
+    ``name`` is the client name sent with EHLO or LHLO.
+    """
 
     name: str
     clock: Clock
     connect_timeout_s: float
 
     def add_idle(self, connection: MailConnection) -> None:
-        """The connection can carry another call."""
+        """Keep a connection that is ready for another call."""
         ...
 
     def remove_idle(self, connection: MailConnection) -> None:
-        """The connection is no longer idle."""
+        """Remove a connection from the idle ones."""
         ...
 
     def on_closed_by_partner(self, connection: MailConnection) -> None:
-        """The partner closed the connection."""
+        """Handle a connection that its partner closed."""
         ...
 
 
@@ -85,27 +88,27 @@
         self.pool, self.target, self.address = pool, target, address
         self.session = mail.ClientSession(pool.name, address.is_lmtp)
         self.call: CallHandler | None = None
-        self.number = 0  # by which the call's connection race names it
+        self.number = 0  # identifies the connection in its call's connection race
         self.idle_timer: DelayedCall | None = None
         self.idle_since_us = 0
         self.is_closing = False
 
     def connectionMade(self) -> None:
-        """Twisted: the connection is up."""
-        if self.call is None:  # its call ended while the connection came up
+        """Report the established connection to its call (Twisted callback)."""
+        if self.call is None:  # the call ended during the connect
             self.close(abort=True)
         else:
             self.call.on_connected(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Twisted: bytes came; they go through the session to the call."""
+        """Pass received bytes to the session and its events to the call (Twisted callback)."""
         call, was_committed = self.call, self.session.is_committed
         if call is not None and not call.on_greeting(self, data):
-            return  # another address greeted first; nothing was written here
+            return  # another connection won the race; nothing was written on this one
         for event in self.session.receive(data):
             self._handle_event(event)
         if call is not None and self.call is call:
-            # Danger: the replies before the end of data may have outlasted the window of its idempotency key.
+            # The window of the idempotency key may have ended while waiting for the replies to the envelope.
             if self.session.is_committed and not was_committed and call.permit.time_left_us() < 0:
                 self.session.take_output()
                 call.on_content_withheld(self)
@@ -114,9 +117,9 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write what the session has to say."""
-        if (out := self.session.take_output()) and self.transport is not None:
-            self.transport.write(out)
+        """Write the pending output of the session."""
+        if (output := self.session.take_output()) and self.transport is not None:
+            self.transport.write(output)
 
     def _handle_event(self, event: Any) -> None:
         match event:
@@ -145,7 +148,7 @@
             call.finish(outcome)
 
     def _release(self) -> None:
-        """After a transaction: keep the connection if it can carry another one."""
+        """Return the connection to the pool after a transaction, or close it if its session has ended."""
         if self.session.phase is mail.Phase.IDLE and self.call is None and not self.is_closing:
             self.pool.add_idle(self)
         elif not self.session.is_open:
@@ -157,14 +160,14 @@
             call.on_connection_lost(self, reason)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Twisted: the connection is gone, or never came up."""
+        """Report a lost connection or a failed connect to pool and call (Twisted callback)."""
         if not self.is_closing:
             self.pool.on_closed_by_partner(self)
         self.pool.remove_idle(self)
         self._report_loss(reason.getErrorMessage())
 
     def close(self, abort: bool = False) -> None:
-        """Close; with ``abort`` at once, where nothing that the partner still says is wanted."""
+        """Close the connection with QUIT, or with ``abort`` immediately and without waiting for a reply."""
         self.pool.remove_idle(self)
         self.is_closing = True
         if self.transport is None:
@@ -175,5 +178,5 @@
         self.session.quit()
         self.flush()
         self.transport.loseConnection()
-        # Danger: a partner that reads nothing more would hold the descriptor for ever.
+        # A partner that stops reading would otherwise keep the file descriptor open indefinitely.
         self.pool.clock.callLater(self.pool.connect_timeout_s, self.transport.abortConnection)
--- a/honeybarrow/delivery/outcome.py
+++ b/honeybarrow/delivery/outcome.py
@@ -1,7 +1,7 @@
-"""What the end of a call means: the table of ``docs/calls.md`` as code. No I/O, no policy.
+"""Classifies how a call ended, following the table in ``docs/calls.md``. Pure functions without I/O.
 
-One border decides: until the end of data has been written the message is proven not to have run; from that
-byte on it may have run, whatever is lost, unless the partner's reply says no.
+Until the end of data has been written, the partner cannot have executed the message. From then on it may have
+done so, unless its reply rejects the message.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptOutcome:
-    """How a call ended. ``reply``: what the partner said, if it did.
+    """The outcome of one attempt.
 
-    ``not_run``: proven not to have run. ``is_completed``: the partner says that the message has ended and
-    nothing more is owed. ``no_slot_free``: it was not sent, since the partner counts all slots of this
-    forwarder as used.
+    ``reply`` is the partner's reply, if there was one. ``not_run`` is set if the message was certainly not
+    executed. ``is_completed`` is set if the partner reports that the message has already been completed.
+    ``no_slot_free`` is set if the attempt was not sent because all call slots are in use.
     """
 
     status: AttemptStatus
@@ -32,14 +32,14 @@
 
 
 def classify_reply(reply: Reply, phase: Phase) -> AttemptOutcome:
-    """The outcome of a transaction that was answered; ``phase`` is what the reply answers."""
+    """Return the outcome of a transaction from its reply; ``phase`` is the phase that the reply ends."""
     is_final = phase is Phase.FINAL
     wait_us, load = reply.wait_ms * 1000, reply.load
     if is_final and 200 <= reply.code < 300:
         return AttemptOutcome(AttemptStatus.OK, load_report=load, reply=reply)
     if is_final and reply.code == 421 and not wait_us:
-        # Danger: a server that shuts down says 421 to whatever is in flight, run or not (RFC 5321 3.8). Only
-        # with a retry wait is it a refusal.
+        # A server that shuts down sends 421 whether or not it has executed the message (RFC 5321 3.8). Only
+        # a 421 with a retry wait is a refusal.
         return AttemptOutcome(
             AttemptStatus.RESET, load_report=load, reply=reply, reason="closing after end of data"
         )
@@ -51,21 +51,27 @@
 
 
 def classify_session_refusal(reply: Reply) -> AttemptOutcome:
-    """The outcome of a call whose session was refused: full where a wait is advised, else no connection."""
+    """Return the outcome of a refused session: full if a retry wait was advised, else a failed connect."""
     if reply.wait_ms and 400 <= reply.code < 500:
         return AttemptOutcome(AttemptStatus.FULL, True, reply.wait_ms * 1000, reply.load, reply)
     return AttemptOutcome(AttemptStatus.CONNECT_FAILED, True, reply=reply, reason="session refused")
 
 
 def classify_connection_loss(is_started: bool, is_committed: bool, reason: str) -> AttemptOutcome:
-    """The connection was lost, or the partner broke the protocol; ``is_committed``: past the end of data."""
+    """Return the outcome of a lost connection or a protocol violation.
+
+    ``is_committed`` tells whether the end of data has been written.
+    """
     if not is_started:
         return AttemptOutcome(AttemptStatus.CONNECT_FAILED, True, reason=reason)
     return AttemptOutcome(AttemptStatus.RESET, not is_committed, reason=reason)
 
 
 def classify_timeout(is_started: bool, is_committed: bool) -> AttemptOutcome:
-    """The attempt's time is up; an answer that comes later is ignored."""
+    """Return the outcome of an attempt that timed out.
+
+    ``is_committed`` tells whether the end of data has been written.
+    """
     if not is_started:
         return AttemptOutcome(AttemptStatus.CONNECT_FAILED, True, reason="not connected in time")
     return AttemptOutcome(AttemptStatus.TIMEOUT, not is_committed, reason="no answer in time")
--- a/honeybarrow/delivery/results.py
+++ b/honeybarrow/delivery/results.py
@@ -1,4 +1,4 @@
-"""Final results of a message: delivered, refused or failed, exactly one of them each."""
+"""Final results of messages. Each message gets exactly one: delivered, refused or failed."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Delivered:
-    """Final result: a partner has accepted the message."""
+    """The final result of a message that a partner has accepted."""
 
-    label: ClassVar[str] = "delivered"  # in metrics and spans
+    label: ClassVar[str] = "delivered"  # used in metrics and spans
     reply: Reply | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Final result: nothing ran that must not run again; a retry after the wait, if any, is harmless."""
+    """The final result of a message that the client may safely retry after ``retry_after_us``."""
 
     label: ClassVar[str] = "refused"
     retry_after_us: int = 0
@@ -30,16 +30,16 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRecorded(Refused):
-    """Final result: refused before it was accepted, since its acceptance can't be recorded now."""
+    """The final result of a message that was not accepted because the message log can't be written."""
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """Final result: failed, with no promise about the effect.
+    """The final result of a message that failed and may or may not have taken effect.
 
-    ``reply``: a partner's permanent refusal. ``retry_within_us``: for so long the partner still drops a
-    repeat of a message with an idempotency key, so that a retry by the client is harmless until then and not
-    after; ``retry_after_us`` is then the wait that a refusal would give.
+    ``reply`` is a partner's permanent refusal. ``retry_within_us`` is the time in which the partner still
+    recognizes the message's idempotency key, so that the client may safely retry until then, but not later;
+    ``retry_after_us`` is then the time to wait before that retry.
     """
 
     label: ClassVar[str] = "failed"
@@ -53,20 +53,20 @@
 
 
 def make_returned_result(action: ReturnToClient, last: AttemptOutcome | None) -> Refused | Failed:
-    """The result of a message that the policy returns to its client, whose last attempt ended so."""
-    reason = _explain(last)
+    """Return the result of a message that the policy returns to its client after its last attempt."""
+    reason = _describe(last)
     if action.retry_within_us is None:
         return Refused(action.retry_after_us, reason)
-    # Danger: "harmless to retry" holds for an ambiguous message with an idempotency key only while its
-    # partner knows the key; a client that comes later by habit would have it done twice.
+    # An ambiguous message with an idempotency key may only be retried while its partner remembers the key;
+    # a later retry would execute it a second time.
     return Failed(reason, None, action.retry_within_us, action.retry_after_us)
 
 
 def make_failed_result(last: AttemptOutcome | None) -> Failed:
-    """The result of a message that the policy fails permanently, whose last attempt ended so."""
+    """Return the result of a message that the policy fails permanently after its last attempt."""
     is_rejected = last is not None and last.status is AttemptStatus.REJECTED
-    return Failed(_explain(last), last.reply if last and is_rejected else None)
+    return Failed(_describe(last), last.reply if last and is_rejected else None)
 
 
-def _explain(last: AttemptOutcome | None) -> str:
+def _describe(last: AttemptOutcome | None) -> str:
     return last.reason or last.status.value if last else "not tried"
--- a/honeybarrow/delivery/submission.py
+++ b/honeybarrow/delivery/submission.py
@@ -1,4 +1,4 @@
-"""What the delivery core is given: submissions, the transport, and its surroundings."""
+"""Inputs of the delivery core: submissions, the transport interface, and the shared context."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 class Transport(Protocol):
-    """Carries calls to endpoints: the connection pool of one protocol. What a payload holds is its matter."""
+    """Sends calls to endpoints over one protocol, which defines the type of the payload."""
 
     def call(
         self, target: str, addresses: Sequence[Any], payload: Any, timeout_us: int, permit: AttemptPermit
     ) -> Deferred[AttemptOutcome]:
-        """Make one call; its outcome, exactly one, within the timeout in microseconds."""
+        """Start a call; the result fires with its outcome within the timeout in microseconds."""
         ...
 
     def close_idle(self, target: str) -> None:
-        """Close the idle connections to an endpoint; calls in flight go on."""
+        """Close the idle connections to an endpoint; calls in flight continue."""
         ...
 
 
@@ -36,11 +36,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """A message as a front submits it; ``time_left_us`` is the time until its result is due.
+    """A message as submitted by a front.
 
-    ``on_accepted`` is called once it is logged beyond the process, before anything of it is sent; not at all
-    if the policy completes it in the turn of its arrival. ``is_resumed``: an earlier incarnation accepted it,
-    so it is never rejected; ``attempts`` and ``ambiguous_age_us`` are its past, see
+    ``time_left_us`` is the time until the result is due. ``on_accepted`` is called once the message has been
+    logged and before it is sent; it is not called if the policy completes the message in the turn in which it
+    arrives. ``is_resumed`` marks a message that an earlier incarnation accepted, which is never rejected;
+    ``attempts`` and ``ambiguous_age_us`` then describe its history, see
     :class:`honeybarrow.events.MessageArrived`.
     """
 
@@ -58,7 +59,7 @@
     ambiguous_age_us: int | None = None
 
     def make_event(self) -> MessageArrived:
-        """The event that tells the policy of it."""
+        """Return the event that reports the message to the policy."""
         return MessageArrived(
             self.message,
             self.class_name,
@@ -74,7 +75,7 @@
 
 @dataclass(slots=True)
 class DeliveryCounters:
-    """Events since the start; ``outcomes`` counts attempts by their status."""
+    """Counts of messages and attempts since the start; ``outcomes`` maps a status to its attempts."""
 
     accepted: int = 0
     rejected: int = 0
@@ -86,17 +87,21 @@
     outcomes: dict[str, int] = field(default_factory=dict)
 
     def count_result(self, result: DeliveryResult) -> None:
-        """Count a final result by its kind."""
+        """Count a final result by its label."""
         setattr(self, result.label, getattr(self, result.label) + 1)
 
     def count_outcome(self, status: str) -> None:
-        """Count an attempt's outcome by its status."""
+        """Count the outcome of an attempt by its status."""
         self.outcomes[status] = self.outcomes.get(status, 0) + 1
 
 
 @dataclass(slots=True)
 class DeliveryContext:
-    """The surroundings of one forwarder, shared by its parts. ``now_us`` reads monotonic microseconds."""
+    """The dependencies of one forwarder, shared by its parts.
+
+    ``now_us`` returns the monotonic time in microseconds. ``get_shutdown_age_us`` returns the time since
+    SIGTERM, or ``None`` if the process is not shutting down.
+    """
 
     settings: Settings
     sender: Sender
@@ -109,9 +114,9 @@
     call_observer: CallObserver
     message_log: MessageLog
     guard: MessageGuard
-    get_shutdown_age_us: Callable[[], int | None]  # since SIGTERM; None if there was none
+    get_shutdown_age_us: Callable[[], int | None]
     counters: DeliveryCounters = field(default_factory=DeliveryCounters)
 
     def is_idempotent(self, class_name: str) -> bool:
-        """Return whether messages of a class may run any number of times."""
+        """Return whether messages of a class may be executed more than once."""
         return self.sender.classes[class_name].idempotency is Idempotency.IDEMPOTENT
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -186,7 +186,7 @@
 def test_wrong_submissions_are_errors() -> None:
     bench = Bench()
     bench.submit("m1")
-    with pytest.raises(ValueError, match="held already"):
+    with pytest.raises(ValueError, match="already in flight"):
         bench.submit("m1")
-    with pytest.raises(ValueError, match="unknown class"):
+    with pytest.raises(ValueError, match="unknown message class"):
         bench.submit("m2", kind="what")
