--- a/honeybarrow/addressing/address_health.py
+++ b/honeybarrow/addressing/address_health.py
@@ -166,25 +166,25 @@
             self._records.pop(machine, None)
         self.on_result(address, "connected", elapsed_us)
 
-    def record_greeting(self, now: int, address: Address, target: str, name: str) -> None:
+    def record_greeting(self, now: int, address: Address, target: str, server_name: str) -> None:
         """Record the server name from a greeting (RFC 5321 section 4.2), which identifies its machine.
 
         The name is scoped to the endpoint, since servers of different partners may share a name such as
         localhost.
         """
         record = self._get_or_create(now, address.socket_key)
-        record.machine = f"{target} {name}" if name else ""
+        record.machine = f"{target} {server_name}" if server_name else ""
 
     def record_failure(
         self, now: int, address: Address, failure: AddressFailure = AddressFailure.UNREACHABLE
     ) -> None:
         """Record a failure and start a growing backoff of the address, and of its machine if affected."""
-        names: list[object] = [address.socket_key]
+        keys: list[object] = [address.socket_key]
         if failure.concerns_machine and (machine := self.get_machine(address)):
-            names.append(machine)
+            keys.append(machine)
         jitter = 1.0 + self.rng.uniform(-BACKOFF_JITTER, BACKOFF_JITTER)
-        for name in names:
-            record = self._get_or_create(now, name)
+        for key in keys:
+            record = self._get_or_create(now, key)
             record.failure_count += 1
             is_final = failure is AddressFailure.NO_FINAL_REPLY
             first_us = NO_FINAL_REPLY_BACKOFF_US if is_final else MIN_BACKOFF_US
@@ -296,18 +296,18 @@
         cause = f"failed {failures} times" if failures else f"its machine {machine} failed"
         return f"{cause}, in backoff for {backoff_s:.1f} s"
 
-    def _find(self, now: int, name: object) -> _AddressRecord | None:
-        record = self._records.get(name)
+    def _find(self, now: int, key: object) -> _AddressRecord | None:
+        record = self._records.get(key)
         if record is not None and record.updated_us < now - MAX_RECORD_AGE_US:
-            del self._records[name]
+            del self._records[key]
             return None
         return record
 
-    def _get_or_create(self, now: int, name: object) -> _AddressRecord:
-        record = self._find(now, name) or _AddressRecord()
+    def _get_or_create(self, now: int, key: object) -> _AddressRecord:
+        record = self._find(now, key) or _AddressRecord()
         record.updated_us = now
-        self._records[name] = record
-        self._records.move_to_end(name)
+        self._records[key] = record
+        self._records.move_to_end(key)
         if len(self._records) > MAX_RECORDS:
             self._records.popitem(last=False)
         return record
--- a/honeybarrow/addressing/connection_race.py
+++ b/honeybarrow/addressing/connection_race.py
@@ -131,7 +131,7 @@
         if number in self.pending:
             self.pending[number].is_connected = True
 
-    def on_greeting(self, now: int, number: int, name: str) -> list[RaceAction]:
+    def on_greeting(self, now: int, number: int, server_name: str) -> list[RaceAction]:
         """Handle a greeting with the server's name; the first connection with a greeting wins the race."""
         if number == self.winner:
             return []
@@ -139,7 +139,7 @@
             return [CloseConnection(number)]
         actions: list[RaceAction] = []
         winning = self.pending.pop(number)
-        self.health.record_greeting(now, winning.address, self.target, name)
+        self.health.record_greeting(now, winning.address, self.target, server_name)
         for other, loser in self.pending.items():
             # An address that never answers must enter backoff, or it would delay every attempt.
             if now - loser.started_us >= self.health.compute_connect_delay_us(now, loser.address):
@@ -283,11 +283,11 @@
     def _record_failure(self, now: int, address: Address, failure: AddressFailure) -> None:
         self.health.record_failure(now, address, failure)
         if failure.concerns_machine and (machine := self.health.get_machine(address)):
-            same = [a for a in self.remaining if self.health.get_machine(a) == machine]
+            same_machine = [a for a in self.remaining if self.health.get_machine(a) == machine]
             others = [a for a in self.remaining if self.health.get_machine(a) != machine]
             # Addresses listed for the failed machine are dropped. Those matched only by a greeting are tried
             # last, since several machines may use the same name.
-            self.remaining = others + [a for a in same if a.machine != machine]
+            self.remaining = others + [a for a in same_machine if a.machine != machine]
 
     def _await_reply(self, now: int) -> None:
         """Set the timeout of the next reply so that time remains to try the other addresses."""
--- a/honeybarrow/delivery/attempts.py
+++ b/honeybarrow/delivery/attempts.py
@@ -16,7 +16,7 @@
 from honeybarrow.message_guard import Refusal
 from honeybarrow.message_state import MessageState
 
-# Statuses after which a message may still take effect, so that its order key pauses.
+# Statuses after which a message may still take effect, so that the next one of its order key has to wait.
 KEY_COOLDOWN_STATUSES = (AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED)
 NOT_RECORDED_REASON = "its start can't be recorded"
 
@@ -63,7 +63,7 @@
     deadline_us: int
 
     def time_left_us(self) -> int:
-        """Return the microseconds in which the attempt may still be written; negative if none are left."""
+        """Return the microseconds left to write the last byte of the attempt; negative if it is too late."""
         return self.deadline_us - self.context.now_us()
 
     def refusal_reason(self) -> str:
@@ -92,11 +92,11 @@
 
         Return why the attempt must not start, or an empty string if it may.
         """
-        name = self.message.submission.message
-        self.context.guard.on_attempt_started(name, self.target, self.context.now_us())
+        message_id = self.message.submission.message
+        self.context.guard.on_attempt_started(message_id, self.target, self.context.now_us())
         is_repeatable = self.context.is_idempotent(self.message.submission.class_name)
         is_logged = self.context.message_log.record_attempt_started(
-            name, self.attempt, must_be_kept=not is_repeatable
+            message_id, self.attempt, must_be_kept=not is_repeatable
         )
         return "" if is_logged or is_repeatable else NOT_RECORDED_REASON
 
@@ -182,7 +182,7 @@
     def _record_outcome(
         self, message: InFlightMessage, attempt: int, target: str, started_us: int, outcome: AttemptOutcome
     ) -> None:
-        context, name = self.context, message.submission.message
+        context, message_id = self.context, message.submission.message
         state_before = message.state
         message.attempts_in_flight -= 1
         message.last_outcome = outcome
@@ -190,12 +190,12 @@
         status = outcome.status.value
         elapsed_us = max(0, context.now_us() - started_us)
         message.time_in_calls_us += elapsed_us
-        context.observer.attempt_finished(name, attempt, status, elapsed_us, outcome.reason)
-        context.call_observer.attempt_finished(name, attempt, outcome.status)
+        context.observer.attempt_finished(message_id, attempt, status, elapsed_us, outcome.reason)
+        context.call_observer.attempt_finished(message_id, attempt, outcome.status)
         context.counters.count_outcome(status)
         context.log.debug(
             "attempt_finished",
-            message=name,
+            message=message_id,
             attempt=attempt,
             target=target,
             status=status,
@@ -210,11 +210,11 @@
         )
         completes = outcome.status is AttemptStatus.OK or outcome.is_completed
         now_us, needs_key_cooldown = context.now_us(), outcome.status in KEY_COOLDOWN_STATUSES
-        context.guard.on_attempt_finished(name, now_us, outcome.not_run, completes, needs_key_cooldown)
+        context.guard.on_attempt_finished(message_id, now_us, outcome.not_run, completes, needs_key_cooldown)
         context.guard.on_retry_after(target, now_us, outcome.retry_after_us)
-        context.message_log.record_attempt_finished(name, attempt, outcome.status, outcome.not_run)
+        context.message_log.record_attempt_finished(message_id, attempt, outcome.status, outcome.not_run)
         event = AttemptFinished(
-            name,
+            message_id,
             attempt,
             target,
             outcome.status,
--- a/honeybarrow/delivery/connection_pool.py
+++ b/honeybarrow/delivery/connection_pool.py
@@ -43,20 +43,20 @@
 class MailConnectionPool:
     """Opens, reuses and closes the connections to all endpoints.
 
-    ``name`` is the client name sent with EHLO or LHLO. ``on_connect_started`` is called with the target of
-    each new connection.
+    ``client_name`` is sent with EHLO or LHLO. ``on_connect_started`` is called with the target of each new
+    connection.
     """
 
     def __init__(
         self,
         reactor: Network,
         clock: Clock,
-        name: str,
+        client_name: str,
         config: PoolConfig,
         on_connect_started: Callable[[str], None] = lambda target: None,
         address_health: AddressHealth | None = None,
     ) -> None:
-        self.reactor, self.clock, self.name, self.config = reactor, clock, name, config
+        self.reactor, self.clock, self.client_name, self.config = reactor, clock, client_name, config
         self.connect_timeout_s = config.connect_timeout_s
         self.on_connect_started = on_connect_started
         self.address_health = address_health or AddressHealth(random.Random(1))
--- a/honeybarrow/delivery/forwarder.py
+++ b/honeybarrow/delivery/forwarder.py
@@ -144,30 +144,34 @@
         Cancelling the Deferred withdraws the message. Raises :class:`InvalidValueError` if a message of this
         id is already in flight or its class is unknown.
         """
-        name = submission.message
-        if name in self._messages:
-            raise InvalidValueError(f"message {name!r} is already in flight")
+        message_id = submission.message
+        if message_id in self._messages:
+            raise InvalidValueError(f"message {message_id!r} is already in flight")
         if submission.class_name not in self.sender.classes:
             raise InvalidValueError(f"unknown message class {submission.class_name!r}")
-        result: Deferred[DeliveryResult] = Deferred(lambda _: self._withdraw(name))
+        result: Deferred[DeliveryResult] = Deferred(lambda _: self._withdraw(message_id))
         if self._open_count >= self.settings.max_open and not submission.is_resumed:
             self.counters.rejected += 1
             wait_us = self._draw_retry_after_us()
-            self.log.info("message_rejected", message=name, open=self._open_count, retry_after_us=wait_us)
+            self.log.info(
+                "message_rejected", message=message_id, open=self._open_count, retry_after_us=wait_us
+            )
             result.callback(Refused(wait_us, "no room"))
             return result
         message = InFlightMessage(submission, result, self.now_us(), submission.attempts)
         message.is_ambiguous = submission.ambiguous_age_us is not None
-        self._messages[name] = message
+        self._messages[message_id] = message
         self._register_with_guard(submission, message.submitted_us)
         self._arrived_this_turn.append(message)
         self._open_count += 1
         self.counters.accepted += 1
         partner = self.get_partner_name(submission.destination)
-        self.context.observer.message_accepted(name, submission.class_name, partner, submission.time_left_us)
+        self.context.observer.message_accepted(
+            message_id, submission.class_name, partner, submission.time_left_us
+        )
         self.log.debug(
             "message_accepted",
-            message=name,
+            message=message_id,
             message_class=submission.class_name,
             destination=submission.destination,
             time_left_us=submission.time_left_us,
@@ -247,10 +251,10 @@
         # Messages are removed after all actions, since a later action of this turn may still refer to one
         # that was completed or withdrawn above.
         completed, self._completed = self._completed, []
-        for name in completed:
-            message = self._messages.get(name)  # None if the message was listed twice
+        for message_id in completed:
+            message = self._messages.get(message_id)  # None if the message was listed twice
             if message is not None and message.attempts_in_flight == 0:
-                del self._messages[name]
+                del self._messages[message_id]
         self.on_turn_finished()
 
     def _on_action_failed(self, action: Action, error: Exception) -> None:
@@ -273,7 +277,7 @@
         )
 
     def _commit_turn(self, actions: list[Action]) -> None:
-        """Log the messages accepted in this turn, then acknowledge them, before any action is executed."""
+        """Write the log records of this turn and acknowledge its messages, before any action is executed."""
         arrived, self._arrived_this_turn = self._arrived_this_turn, []
         completed = {a.message: None for a in actions if isinstance(a, ReturnToClient | FailPermanently)}
         accepted = [m for m in arrived if not m.is_completed and m.submission.message not in completed]
@@ -301,13 +305,15 @@
 
     def _execute(self, action: Action) -> None:
         match action:
-            case SendAttempt(name):
-                self._attempts.start(self._messages[name], action, self._last_turn_us, self._is_turn_logged)
-            case ReturnToClient(name):
-                message = self._messages[name]
+            case SendAttempt(message_id):
+                self._attempts.start(
+                    self._messages[message_id], action, self._last_turn_us, self._is_turn_logged
+                )
+            case ReturnToClient(message_id):
+                message = self._messages[message_id]
                 self._complete(message, make_returned_result(action, message.last_outcome))
-            case FailPermanently(name):
-                message = self._messages[name]
+            case FailPermanently(message_id):
+                message = self._messages[message_id]
                 self._complete(message, make_failed_result(message.last_outcome))
             case SetTimer(timer, delay_us):
                 self.context.clock.callLater(delay_us / 1e6, self._queue_event, TimerFired(timer))
@@ -340,8 +346,8 @@
         """Deliver the final result of a message. All results pass through this method."""
         if message.is_completed:
             return
-        name = message.submission.message
-        if (refusal := self.guard.may_end(name, _RESULT_OF_TYPE[type(result)])) is not None:
+        message_id = message.submission.message
+        if (refusal := self.guard.may_end(message_id, _RESULT_OF_TYPE[type(result)])) is not None:
             if refusal is Refusal.ENDED:
                 return
             result = Failed(refusal.value)  # the only result that makes no claim about the effect
@@ -352,11 +358,11 @@
         now_us = self.now_us()
         elapsed_us, left_us = now_us - message.submitted_us, message.time_left_us(now_us)
         self.context.observer.message_completed(
-            name, result.label, elapsed_us, message.time_in_calls_us, left_us
+            message_id, result.label, elapsed_us, message.time_in_calls_us, left_us
         )
         self.log.info(
             f"message_{result.label}",
-            message=name,
+            message=message_id,
             attempts=message.attempts,
             elapsed_us=elapsed_us,
             time_in_calls_us=message.time_in_calls_us,
@@ -368,36 +374,36 @@
         self._schedule_removal(message)
         self._notify_if_drained()
 
-    def _withdraw(self, name: str) -> None:
+    def _withdraw(self, message_id: str) -> None:
         """Stop new attempts of a message whose client is gone; attempts in flight continue.
 
         See ``docs/mail.md``.
         """
-        message = self._messages.get(name)
+        message = self._messages.get(message_id)
         if message is None or message.is_completed:
             return
         state_before = message.state
-        self.guard.on_withdrawn(name)
+        self.guard.on_withdrawn(message_id)
         message.is_completed = message.is_withdrawn = True
         self._open_count -= 1
         self.counters.withdrawn += 1
         now_us = self.now_us()
         elapsed_us, left_us = now_us - message.submitted_us, message.time_left_us(now_us)
         self.context.observer.message_completed(
-            name, "withdrawn", elapsed_us, message.time_in_calls_us, left_us
+            message_id, "withdrawn", elapsed_us, message.time_in_calls_us, left_us
         )
         in_flight = message.attempts_in_flight
         self.log.info(
             "message_withdrawn",
-            message=name,
+            message=message_id,
             attempts=message.attempts,
             attempts_in_flight=in_flight,
             time_left_us=left_us,
             state_before=state_before.value,
         )
         self._schedule_removal(message)
-        self._queue_event(MessageExpired(name))
-        self.on_withdrawn(name, in_flight, message.is_ambiguous)
+        self._queue_event(MessageExpired(message_id))
+        self.on_withdrawn(message_id, in_flight, message.is_ambiguous)
         self._notify_if_drained()
 
     def _schedule_removal(self, message: InFlightMessage) -> None:
--- a/honeybarrow/delivery/mail_call.py
+++ b/honeybarrow/delivery/mail_call.py
@@ -154,8 +154,8 @@
         """Handle data from a server; return whether this connection carries the call."""
         if connection.number == self.race.winner:
             return True
-        name = data[4:].split(b" ")[0].decode("ascii", "replace").strip() if data[:3] == b"220" else ""
-        self._execute(self.race.on_greeting(self.pool.now_us(), connection.number, name[:255]))
+        server_name = data[4:].split(b" ")[0].decode("ascii", "replace").strip() if data[:3] == b"220" else ""
+        self._execute(self.race.on_greeting(self.pool.now_us(), connection.number, server_name[:255]))
         return not self.is_finished and connection.number == self.race.winner
 
     def on_session_ready(self, connection: MailConnection) -> None:
--- a/honeybarrow/delivery/mail_connection.py
+++ b/honeybarrow/delivery/mail_connection.py
@@ -59,10 +59,10 @@
 class ConnectionOwner(Protocol):
     """The interface of the connection pool that a connection uses.
 
-    ``name`` is the client name sent with EHLO or LHLO.
+    ``client_name`` is sent with EHLO or LHLO.
     """
 
-    name: str
+    client_name: str
     clock: Clock
     connect_timeout_s: float
 
@@ -86,7 +86,7 @@
 
     def __init__(self, pool: ConnectionOwner, target: str, address: Address) -> None:
         self.pool, self.target, self.address = pool, target, address
-        self.session = mail.ClientSession(pool.name, address.is_lmtp)
+        self.session = mail.ClientSession(pool.client_name, address.is_lmtp)
         self.call: CallHandler | None = None
         self.number = 0  # identifies the connection in its call's connection race
         self.idle_timer: DelayedCall | None = None
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -1,4 +1,4 @@
-"""The forwarder in simulated time, with a transport whose calls a test answers."""
+"""Tests of the forwarder on a simulated clock with a fake transport."""
 
 from __future__ import annotations
 
@@ -23,170 +23,177 @@
 
 
 class FakeTransport:
-    """Keeps the calls for the test to end."""
+    """Records calls; the test resolves their outcomes."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[str, Deferred[AttemptOutcome]]] = []
         self.permits: list[AttemptPermit] = []
 
     def call(
-        self, target: str, places: list[Address], payload: MailPayload, timeout_us: int, permit: AttemptPermit
+        self,
+        target: str,
+        addresses: list[Address],
+        payload: MailPayload,
+        timeout_us: int,
+        permit: AttemptPermit,
     ) -> Deferred[AttemptOutcome]:
-        done: Deferred[AttemptOutcome] = Deferred()
+        outcome: Deferred[AttemptOutcome] = Deferred()
         self.permits.append(permit)
-        self.calls.append((target, done))
-        return done
+        self.calls.append((target, outcome))
+        return outcome
 
     def close_idle(self, target: str) -> None: ...
 
 
-class Bench:
-    """A core on a simulated clock, whose own time a test may step."""
+class ForwarderHarness:
+    """A forwarder on a simulated clock; ``time_offset_us`` shifts the time that it reads."""
 
     def __init__(self, **changes: Any) -> None:
-        self.clock, self.pool, self.step_us = Clock(), FakeTransport(), 0
+        self.clock, self.transport, self.time_offset_us = Clock(), FakeTransport(), 0
         self.crashes: list[Exception] = []
-        pool: Any = self.pool
-        self.core = Forwarder(
+        transport: Any = self.transport
+        self.forwarder = Forwarder(
             settings(**changes),
             1,
             self.clock,
-            lambda: 10_000_000 + int(self.clock.seconds() * 1e6) + self.step_us,
-            pool,
+            lambda: 10_000_000 + int(self.clock.seconds() * 1e6) + self.time_offset_us,
+            transport,
             lambda target: [Address("127.0.0.1", 1)],
             lambda: None,
             RecordingLog(),
             self.crashes.append,
         )
-        row = Endpoint("a", 1, EndpointState.READY, "shop")
-        self.core.apply_membership_update(MembershipUpdate(UpdateKind.FULL, 1, (row,)))
+        endpoint = Endpoint("a", 1, EndpointState.READY, "shop")
+        self.forwarder.apply_membership_update(MembershipUpdate(UpdateKind.FULL, 1, (endpoint,)))
         self.clock.advance(0)
 
-    def submit(self, name: str, left_us: int = 4_000_000, kind: str = "note") -> list[Any]:
-        answers: list[Any] = []
-        self.core.submit(Submission(name, kind, 1, left_us, PAYLOAD)).addBoth(answers.append)
-        return answers
+    def submit(self, message: str, time_left_us: int = 4_000_000, class_name: str = "note") -> list[Any]:
+        results: list[Any] = []
+        self.forwarder.submit(Submission(message, class_name, 1, time_left_us, PAYLOAD)).addBoth(
+            results.append
+        )
+        return results
 
     def run(self, seconds: float) -> None:
         self.clock.pump([0.01] * int(seconds * 100))
 
 
-def test_a_clock_that_steps_back_neither_ends_the_process_nor_loses_a_message() -> None:
-    bench = Bench()
-    answers = bench.submit("m1")
-    bench.run(0.5)
-    bench.step_us = -5_000_000
-    bench.run(0.5)
+def test_backward_clock_step_neither_crashes_the_policy_nor_loses_a_message() -> None:
+    harness = ForwarderHarness()
+    results = harness.submit("m1")
+    harness.run(0.5)
+    harness.time_offset_us = -5_000_000
+    harness.run(0.5)
     for _ in range(200):
-        for (_, call), permit in zip(bench.pool.calls, bench.pool.permits, strict=True):
+        for (_, call), permit in zip(harness.transport.calls, harness.transport.permits, strict=True):
             if not call.called and permit.record_start() == "":
                 call.callback(AttemptOutcome(AttemptStatus.ERROR))
             elif not call.called:
                 call.callback(AttemptOutcome(AttemptStatus.NOT_SENT, True))
-        bench.run(0.1)
-    assert len(answers) == 1 and isinstance(answers[0], Refused) and bench.crashes == []
+        harness.run(0.1)
+    assert len(results) == 1 and isinstance(results[0], Refused) and harness.crashes == []
 
 
-def test_a_transport_that_raises_gives_its_slot_back_and_has_sent_nothing(
+def test_raising_transport_frees_its_slot_and_counts_as_not_sent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    bench = Bench()
+    harness = ForwarderHarness()
 
-    def raise_error(*given: Any) -> Any:
+    def raise_error(*args: Any) -> Any:
         raise RuntimeError("no transport")
 
-    monkeypatch.setattr(bench.pool, "call", raise_error)
-    answers = bench.submit("m1", kind="pay")
-    bench.run(6.0)
-    assert bench.core.calls_in_flight == 0 and len(answers) == 1 and isinstance(answers[0], Refused)
+    monkeypatch.setattr(harness.transport, "call", raise_error)
+    results = harness.submit("m1", class_name="pay")
+    harness.run(6.0)
+    assert harness.forwarder.calls_in_flight == 0 and len(results) == 1 and isinstance(results[0], Refused)
 
 
-def test_a_busy_reactor_does_not_give_a_message_more_time() -> None:
-    bench = Bench()
-    answers = bench.submit("m1", 1_000_000)
-    bench.clock.rightNow += 0.9  # the turn comes late; a tenth of a second is left
-    bench.clock.advance(0)
-    bench.run(0.11)
-    for _, call in bench.pool.calls:
+def test_delayed_turn_does_not_extend_the_time_of_a_message() -> None:
+    harness = ForwarderHarness()
+    results = harness.submit("m1", 1_000_000)
+    harness.clock.rightNow += 0.9  # a delayed turn leaves 0.1 s
+    harness.clock.advance(0)
+    harness.run(0.11)
+    for _, call in harness.transport.calls:
         if not call.called:
             call.callback(AttemptOutcome(AttemptStatus.TIMEOUT, True))
-    bench.run(0.02)
-    assert len(answers) == 1 and bench.core.open_count == 0
+    harness.run(0.02)
+    assert len(results) == 1 and harness.forwarder.open_count == 0
 
 
-def test_a_busy_reactor_does_not_make_an_ambiguous_attempt_younger() -> None:
-    bench = Bench()
-    past = Submission(
+def test_delayed_turn_does_not_extend_the_retry_window_of_an_ambiguous_message() -> None:
+    harness = ForwarderHarness()
+    resumed = Submission(
         "m1", "post", 1, 9_000_000, PAYLOAD, is_resumed=True, attempts=1, ambiguous_age_us=4_500_000
     )
-    answers: list[Any] = []
-    bench.core.submit(past).addBoth(answers.append)
-    bench.clock.rightNow += 0.3  # the turn comes late; a fifth of a second of the window is left
-    bench.clock.advance(0)
-    assert len(bench.pool.calls) == 1
-    assert 180_000 <= bench.pool.permits[0].time_left_us() <= 200_000
+    results: list[Any] = []
+    harness.forwarder.submit(resumed).addBoth(results.append)
+    harness.clock.rightNow += 0.3  # a delayed turn leaves 0.2 s of the window of the idempotency key
+    harness.clock.advance(0)
+    assert len(harness.transport.calls) == 1
+    assert 180_000 <= harness.transport.permits[0].time_left_us() <= 200_000
 
 
-def test_events_of_one_turn_go_to_the_policy_together() -> None:
-    bench = Bench(slots=8)
-    turns: list[int] = []
-    handle = bench.core.sender.handle
+def test_events_of_one_turn_are_passed_to_the_policy_together() -> None:
+    harness = ForwarderHarness(slots=8)
+    event_counts: list[int] = []
+    handle = harness.forwarder.sender.handle
 
-    def counting(now_us: int, events: Sequence[Event]) -> list[Action]:
-        turns.append(len(events))
+    def count_and_handle(now_us: int, events: Sequence[Event]) -> list[Action]:
+        event_counts.append(len(events))
         return handle(now_us, events)
 
-    bench.core.sender.handle = counting  # type: ignore[method-assign]
+    harness.forwarder.sender.handle = count_and_handle  # type: ignore[method-assign]
     for number in range(5):
-        bench.submit(f"m{number}")
-    bench.clock.advance(0)
-    assert turns == [5] and len(bench.pool.calls) > 1
+        harness.submit(f"m{number}")
+    harness.clock.advance(0)
+    assert event_counts == [5] and len(harness.transport.calls) > 1
 
 
-def test_a_policy_that_fails_leaves_no_message_without_a_result() -> None:
-    bench = Bench()
-    answers = bench.submit("m1")
-    bench.core.sender.handle = lambda now, events: [][0]  # type: ignore[method-assign, assignment]
-    bench.clock.advance(0)
-    assert [type(answer) for answer in answers] == [Failed] and len(bench.crashes) == 1
+def test_policy_error_fails_all_open_messages() -> None:
+    harness = ForwarderHarness()
+    results = harness.submit("m1")
+    harness.forwarder.sender.handle = lambda now, events: [][0]  # type: ignore[method-assign, assignment]
+    harness.clock.advance(0)
+    assert [type(result) for result in results] == [Failed] and len(harness.crashes) == 1
 
 
-def test_a_withdrawn_message_frees_its_slot_when_its_call_ends() -> None:
-    bench = Bench(slots=1)
+def test_withdrawn_message_keeps_its_slot_until_its_call_ends() -> None:
+    harness = ForwarderHarness(slots=1)
     events: list[Any] = []
-    bench.core.on_withdrawn = lambda *args: events.append(("withdrawn", *args))
-    bench.core.on_last_attempt_finished = lambda message, outcome, is_ambiguous: events.append(
-        ("ran on", message, is_ambiguous)
+    harness.forwarder.on_withdrawn = lambda *args: events.append(("withdrawn", *args))
+    harness.forwarder.on_last_attempt_finished = lambda message, outcome, is_ambiguous: events.append(
+        ("last attempt finished", message, is_ambiguous)
     )
-    done = bench.core.submit(Submission("m1", "pay", 1, 4_000_000, PAYLOAD))
+    withdrawn = harness.forwarder.submit(Submission("m1", "pay", 1, 4_000_000, PAYLOAD))
     errors: list[Any] = []
 
-    def cancelled(failure: Failure) -> None:
+    def record_error(failure: Failure) -> None:
         errors.append(failure.type)
 
-    done.addErrback(cancelled)
-    bench.run(0.05)
-    done.cancel()
-    bench.run(0.05)
-    answers = bench.submit("m2")
-    bench.run(0.05)
+    withdrawn.addErrback(record_error)
+    harness.run(0.05)
+    withdrawn.cancel()
+    harness.run(0.05)
+    results = harness.submit("m2")
+    harness.run(0.05)
     assert (
-        len(bench.pool.calls) == 1
+        len(harness.transport.calls) == 1
         and events == [("withdrawn", "m1", 1, False)]
         and errors == [CancelledError]
     )
-    bench.pool.calls[0][1].callback(AttemptOutcome(AttemptStatus.RESET))
-    bench.run(0.5)
-    assert events[1:] == [("ran on", "m1", True)] and len(bench.pool.calls) == 2
-    bench.pool.calls[1][1].callback(AttemptOutcome(AttemptStatus.OK))
-    bench.run(0.05)
-    assert len(answers) == 1 and bench.core._messages == {}
+    harness.transport.calls[0][1].callback(AttemptOutcome(AttemptStatus.RESET))
+    harness.run(0.5)
+    assert events[1:] == [("last attempt finished", "m1", True)] and len(harness.transport.calls) == 2
+    harness.transport.calls[1][1].callback(AttemptOutcome(AttemptStatus.OK))
+    harness.run(0.05)
+    assert len(results) == 1 and harness.forwarder._messages == {}
 
 
-def test_wrong_submissions_are_errors() -> None:
-    bench = Bench()
-    bench.submit("m1")
+def test_duplicate_id_and_unknown_class_are_rejected() -> None:
+    harness = ForwarderHarness()
+    harness.submit("m1")
     with pytest.raises(ValueError, match="already in flight"):
-        bench.submit("m1")
+        harness.submit("m1")
     with pytest.raises(ValueError, match="unknown message class"):
-        bench.submit("m2", kind="what")
+        harness.submit("m2", class_name="what")
--- a/tests/test_egress_policy.py
+++ b/tests/test_egress_policy.py
@@ -1,4 +1,4 @@
-"""Which addresses a partner may name."""
+"""Tests of the egress policy for partners' addresses."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from honeybarrow.addressing.egress_policy import EgressPolicy, PartnerNetworks
 from honeybarrow.register import ListError, ListUpdate, Partner, PartnerDirectory
 
-OWNED = PartnerNetworks({1: ("10.1.0.0/16", "2001:db8:1::/48"), 2: ("10.2.0.0/16", "10.1.9.0/24"), 3: ()})
-RULES = EgressPolicy(("10.0.0.0/8", "2001:db8::/32"), ("10.0.66.0/24",), ("/run/partners",))
+NETWORKS = PartnerNetworks({1: ("10.1.0.0/16", "2001:db8:1::/48"), 2: ("10.2.0.0/16", "10.1.9.0/24"), 3: ()})
+POLICY = EgressPolicy(("10.0.0.0/8", "2001:db8::/32"), ("10.0.66.0/24",), ("/run/partners",))
 
 
 @pytest.mark.parametrize(
-    ("host", "partner", "why"),
+    ("host", "partner", "violation"),
     [
         ("10.1.2.3", 1, ""),
         ("2001:db8:1::5", 1, ""),
@@ -33,17 +33,17 @@
         ("mail.example", 3, "not a literal address"),
     ],
 )
-def test_a_partner_may_name_its_own_and_no_other_partners(host: str, partner: int, why: str) -> None:
-    assert RULES.find_violation(Address(host, 25), partner, OWNED) == why
+def test_address_must_be_in_allowed_networks_of_its_partner(host: str, partner: int, violation: str) -> None:
+    assert POLICY.find_violation(Address(host, 25), partner, NETWORKS) == violation
 
 
 def test_networks_may_be_shared_by_a_setting() -> None:
-    rules = EgressPolicy(("10.0.0.0/8",), allows_shared=True)
-    assert rules.find_violation(Address("10.2.0.1", 25), 3, OWNED) == ""
+    policy = EgressPolicy(("10.0.0.0/8",), allows_shared=True)
+    assert policy.find_violation(Address("10.2.0.1", 25), 3, NETWORKS) == ""
 
 
 @pytest.mark.parametrize(
-    ("path", "may"),
+    ("path", "is_allowed"),
     [
         ("/run/partners/a.sock", True),
         ("/run/partners/../other/a.sock", False),
@@ -51,23 +51,29 @@
         ("/run/partners", False),
     ],
 )
-def test_a_socket_lies_in_a_directory_that_is_allowed(path: str, may: bool) -> None:
-    assert (RULES.find_violation(Address(path=path), 1, OWNED) == "") is may
+def test_socket_must_be_inside_an_allowed_directory(path: str, is_allowed: bool) -> None:
+    assert (POLICY.find_violation(Address(path=path), 1, NETWORKS) == "") is is_allowed
 
 
-NETWORK = st.tuples(st.integers(0, 255), st.integers(24, 32)).map(lambda x: f"10.0.0.{x[0]}/{x[1]}")
+NETWORK_TEXTS = st.tuples(st.integers(0, 255), st.integers(24, 32)).map(lambda x: f"10.0.0.{x[0]}/{x[1]}")
 
 
-@given(st.dictionaries(st.integers(0, 5), st.lists(NETWORK, max_size=4)), st.integers(0, 255))
-def test_owners_are_all_whose_networks_hold_an_address(owned: dict[int, list[str]], last: int) -> None:
+@given(st.dictionaries(st.integers(0, 5), st.lists(NETWORK_TEXTS, max_size=4)), st.integers(0, 255))
+def test_owners_are_all_partners_whose_networks_contain_an_address(
+    networks: dict[int, list[str]], last_byte: int
+) -> None:
     from netaddr import IPAddress, IPNetwork
 
-    host = f"10.0.0.{last}"
-    expected = [n for n, nets in sorted(owned.items()) if any(IPAddress(host) in IPNetwork(t) for t in nets)]
-    assert PartnerNetworks(owned).find_owners(host) == expected
+    host = f"10.0.0.{last_byte}"
+    expected = [
+        partner
+        for partner, texts in sorted(networks.items())
+        if any(IPAddress(host) in IPNetwork(text) for text in texts)
+    ]
+    assert PartnerNetworks(networks).find_owners(host) == expected
 
 
-def test_a_list_with_networks_that_cannot_be_read_is_refused_whole() -> None:
+def test_list_with_an_invalid_network_is_rejected_as_a_whole() -> None:
     directory = PartnerDirectory()
     with pytest.raises(ListError, match="is no network"):
         directory.apply(
