--- a/honeybarrow/addressing/address_health.py
+++ b/honeybarrow/addressing/address_health.py
@@ -263,8 +263,13 @@
             families.setdefault(address.family, []).append(address)
         for members in families.values():
             members.sort(key=self._get_latency_step)
-        rows = sorted(families.values(), key=lambda members: self._get_latency_step(members[0]))
-        return [row[i] for i in range(max(map(len, rows))) for row in rows if i < len(row)]
+        ordered_families = sorted(families.values(), key=lambda members: self._get_latency_step(members[0]))
+        return [
+            family[i]
+            for i in range(max(map(len, ordered_families)))
+            for family in ordered_families
+            if i < len(family)
+        ]
 
     def _get_latency_step(self, address: Address) -> int:
         """Return the connect time on a logarithmic scale, so that noise does not change the order.
--- a/honeybarrow/delivery/outcome.py
+++ b/honeybarrow/delivery/outcome.py
@@ -18,7 +18,8 @@
 
     ``reply`` is the partner's reply, if there was one. ``not_run`` is set if the message was certainly not
     executed. ``is_completed`` is set if the partner reports that the message has already been completed.
-    ``no_slot_free`` is set if the attempt was not sent because all call slots are in use.
+    ``no_slot_free`` is set if the attempt was not sent because this forwarder has no call slot free, by its
+    own count or by the partner's.
     """
 
     status: AttemptStatus
--- a/tests/test_address_health.py
+++ b/tests/test_address_health.py
@@ -59,10 +59,7 @@
     health.record_failure(now, IPV6)
     assert health._records[IPV6.socket_key].backoff_until_us - now < SECOND
     health.record_failure(now, IPV4)
-    assert set(rank(health, now, IPV6, IPV4)) == {
-        IPV6,
-        IPV4,
-    }
+    assert set(rank(health, now, IPV6, IPV4)) == {IPV6, IPV4}
     assert rank(health, now + address_health.MAX_RECORD_AGE_US + 1, IPV6, IPV4) == [IPV6, IPV4]
 
 
--- a/tests/test_connection_race.py
+++ b/tests/test_connection_race.py
@@ -1,4 +1,4 @@
-"""Checks the rules of a connection race with a stateful model, and single cases of them."""
+"""Tests of the connection race: a stateful model of its rules, and single cases."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class ConnectionRaceModel(RuleBasedStateMachine):
-    """Connections connect, greet, reply, fail and hang in any order."""
+    """Runs a race in which connections greet, reply, fail and hang in any order, and checks its rules."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/test_forwarder_sockets.py
+++ b/tests/test_forwarder_sockets.py
@@ -193,7 +193,7 @@
     refusal_times_s: list[float] = []
     lock = threading.Lock()
 
-    def refuse_first_call(connection: BlockingConnection) -> None:
+    def refuse_for_900_ms(connection: BlockingConnection) -> None:
         connection.greet("XADVICE")
         while line := connection.read_line():
             if line.startswith("MAIL"):
@@ -212,7 +212,7 @@
                 connection.write_lines("250 ok")
 
     with forwarder("slots = 1, max_open = 50") as live:
-        partner = ScriptedPartner(refuse_first_call)
+        partner = ScriptedPartner(refuse_for_900_ms)
         live.list_partner("p.example", partner.port)
         client = live.client("lmtp")
         client.write_lines("MAIL FROM:<>", *["RCPT TO:<note@p.example>"] * 5, "DATA")
--- a/tests/test_mail_calls.py
+++ b/tests/test_mail_calls.py
@@ -62,6 +62,8 @@
 
 
 def greet_with(answer: str) -> Callable[[BlockingConnection], None]:
+    """Return a script that sends this greeting and accepts no command."""
+
     def script(connection: BlockingConnection) -> None:
         connection.write_lines(answer)
         connection.read_line()
@@ -79,9 +81,9 @@
             connection.read_line()
             connection.write_lines("250 ok")
             connection.read_line()
-        if stage in ("body", "dot"):
+        if stage in ("first content line", "end of data"):
             connection.accept_envelope()
-            while (line := connection.read_line()) != ("." if stage == "dot" else "hello"):
+            while (line := connection.read_line()) != ("." if stage == "end of data" else "hello"):
                 assert line is not None
         connection.reset()
 
@@ -94,7 +96,7 @@
     def script(connection: BlockingConnection) -> None:
         if stage != "accept":
             connection.greet()
-        if stage == "dot":
+        if stage == "end of data":
             connection.accept_envelope()
             connection.read_content()
         time.sleep(3)
@@ -111,10 +113,16 @@
     ("no greeting", silent_after("accept"), AttemptStatus.CONNECT_FAILED, True, 0),
     ("reset at MAIL", reset_after("greeting"), AttemptStatus.RESET, True, 0),
     ("reset at RCPT", reset_after("mail"), AttemptStatus.RESET, True, 0),
-    ("reset before the end of data is read", reset_after("body"), AttemptStatus.RESET, False, 0),
-    ("reset after the end of data", reset_after("dot"), AttemptStatus.RESET, False, 0),
+    (
+        "reset before the end of data is read",
+        reset_after("first content line"),
+        AttemptStatus.RESET,
+        False,
+        0,
+    ),
+    ("reset after the end of data", reset_after("end of data"), AttemptStatus.RESET, False, 0),
     ("no reply at MAIL", silent_after("greeting"), AttemptStatus.TIMEOUT, True, 0),
-    ("no reply after the end of data", silent_after("dot"), AttemptStatus.TIMEOUT, False, 0),
+    ("no reply after the end of data", silent_after("end of data"), AttemptStatus.TIMEOUT, False, 0),
     (
         "full at MAIL",
         reply_to_command("MAIL", "451 4.3.2 [wait=700] full", *XADVICE),
@@ -216,7 +224,7 @@
     partner.close()
 
 
-def test_reset_of_a_reused_connection_before_data_is_not_run() -> None:
+def test_message_is_not_run_if_a_reused_connection_is_reset_at_mail() -> None:
     def reset_second_call(connection: BlockingConnection) -> None:
         connection.greet()
         connection.accept_message()
