--- a/honeybarrow/addressing/address.py
+++ b/honeybarrow/addressing/address.py
@@ -19,9 +19,9 @@
 class Address:
     """An address on which an endpoint listens: host and port, or the path of a Unix socket.
 
-    Addresses with a lower ``priority`` are tried first. Within a priority, addresses in the forwarder's own
-    zone are tried first; among the others, calls are distributed by ``weight`` if the weights differ.
-    Addresses with the same ``machine`` are assumed to fail together.
+    Addresses with a lower ``priority`` are tried first. Within a priority, addresses in other zones than the
+    forwarder's come last. Among addresses of equal rank, calls are distributed by ``weight`` if the weights
+    differ. Addresses with the same ``machine`` are assumed to fail together.
     """
 
     host: str = ""
@@ -35,7 +35,7 @@
 
     @property
     def socket_key(self) -> tuple[str, int, str]:
-        """The part that identifies the socket; the other fields only affect the order."""
+        """The part that identifies the socket, without the protocol and the fields for ranking."""
         return self.host, self.port, self.path
 
     @property
--- a/honeybarrow/delivery/connection_pool.py
+++ b/honeybarrow/delivery/connection_pool.py
@@ -89,10 +89,10 @@
             del self.calls_by_target[call.target]
 
     def update_addresses(self, addresses_by_target: Mapping[str, Sequence[Address]]) -> None:
-        """Apply the current addresses of the given endpoints; an empty sequence means it was removed.
+        """Apply the current addresses of some endpoints; a removed endpoint has an empty sequence.
 
-        Idle connections to other addresses of these endpoints are closed, and calls that are not yet
-        committed leave them.
+        Idle connections to other addresses of these endpoints are closed. Calls leave these addresses unless
+        the end of data has been written.
         """
         for target, addresses in addresses_by_target.items():
             keys = {address.socket_key: None for address in addresses}
--- a/honeybarrow/delivery/mail_call.py
+++ b/honeybarrow/delivery/mail_call.py
@@ -176,7 +176,7 @@
         return True
 
     def on_content_withheld(self, connection: MailConnection) -> None:
-        """End the call as not sent, because its time ended before any content was written."""
+        """End the call as not sent, because its permit expired before any content was written."""
         connection.call = None
         self.finish(AttemptOutcome(AttemptStatus.NOT_SENT, True, reason="too late for the end of data"))
         connection.close(abort=True)
@@ -253,7 +253,7 @@
                 connection.call = None
                 connection.close(abort=True)
         self.connections.clear()
-        if outcome.status is not AttemptStatus.NOT_SENT:  # otherwise the endpoint was not involved
+        if outcome.status is not AttemptStatus.NOT_SENT:  # NOT_SENT says nothing about the endpoint
             is_answered = outcome.status in (AttemptStatus.OK, AttemptStatus.REJECTED)
             self.pool.address_health.record_call_result(self.pool.now_us(), self.target, is_answered)
         self.pool.on_call_finished(self)
--- a/honeybarrow/delivery/results.py
+++ b/honeybarrow/delivery/results.py
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The final result of a message that failed and may or may not have taken effect.
+    """The final result of a message that failed, without a guarantee about its effect.
 
     ``reply`` is a partner's permanent refusal. ``retry_within_us`` is the time in which the partner still
     recognizes the message's idempotency key, so that the client may safely retry until then, but not later;
@@ -52,9 +52,9 @@
 DeliveryResult = Delivered | Refused | Failed
 
 
-def make_returned_result(action: ReturnToClient, last: AttemptOutcome | None) -> Refused | Failed:
+def make_returned_result(action: ReturnToClient, last_outcome: AttemptOutcome | None) -> Refused | Failed:
     """Return the result of a message that the policy returns to its client after its last attempt."""
-    reason = _describe(last)
+    reason = _describe(last_outcome)
     if action.retry_within_us is None:
         return Refused(action.retry_after_us, reason)
     # An ambiguous message with an idempotency key may only be retried while its partner remembers the key;
@@ -62,11 +62,11 @@
     return Failed(reason, None, action.retry_within_us, action.retry_after_us)
 
 
-def make_failed_result(last: AttemptOutcome | None) -> Failed:
+def make_failed_result(last_outcome: AttemptOutcome | None) -> Failed:
     """Return the result of a message that the policy fails permanently after its last attempt."""
-    is_rejected = last is not None and last.status is AttemptStatus.REJECTED
-    return Failed(_describe(last), last.reply if last and is_rejected else None)
+    is_rejected = last_outcome is not None and last_outcome.status is AttemptStatus.REJECTED
+    return Failed(_describe(last_outcome), last_outcome.reply if last_outcome and is_rejected else None)
 
 
-def _describe(last: AttemptOutcome | None) -> str:
-    return last.reason or last.status.value if last else "not tried"
+def _describe(last_outcome: AttemptOutcome | None) -> str:
+    return last_outcome.reason or last_outcome.status.value if last_outcome else "not tried"
--- a/tests/test_egress_policy.py
+++ b/tests/test_egress_policy.py
@@ -37,7 +37,7 @@
     assert POLICY.find_violation(Address(host, 25), partner, NETWORKS) == violation
 
 
-def test_networks_may_be_shared_by_a_setting() -> None:
+def test_allows_shared_permits_networks_of_other_partners() -> None:
     policy = EgressPolicy(("10.0.0.0/8",), allows_shared=True)
     assert policy.find_violation(Address("10.2.0.1", 25), 3, NETWORKS) == ""
 
