--- a/honeybarrow/admission/admission_control.py
+++ b/honeybarrow/admission/admission_control.py
@@ -10,12 +10,12 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from honeybarrow.admission.fair_share import RESERVE_FRACTION, SECOND, FairShare
+from honeybarrow.admission.fair_share import RESERVE_FRACTION, SECOND_US, FairShare
 from honeybarrow.admission.retry_after import MIN_RETRY_AFTER_US, compute_retry_after_us
 
-RESERVATION_TIMEOUT_US = 10 * SECOND  # a place reserved at RCPT expires then; the end of data asks anew
-COMPLETION_WINDOW_US = 5 * SECOND  # over how long the rate of completed messages is measured
-TRANSACTION_GRACE_US = 15 * SECOND  # a transaction may take so long, and
+RESERVATION_TIMEOUT_US = 10 * SECOND_US  # a place reserved at RCPT expires then; the end of data asks anew
+COMPLETION_WINDOW_US = 5 * SECOND_US  # over how long the rate of completed messages is measured
+TRANSACTION_GRACE_US = 15 * SECOND_US  # a transaction may take so long, and
 MIN_TRANSFER_BYTES_PER_S = 512  # a second more for each so many bytes read: a trickle holds nothing for long
 
 
@@ -26,7 +26,7 @@
     max_sessions: int = 500
     max_messages: int = 250
     max_buffered_bytes: int = 64 << 20
-    max_retry_after_us: int = 3 * SECOND
+    max_retry_after_us: int = 3 * SECOND_US
 
 
 @dataclass(frozen=True, slots=True)
@@ -195,7 +195,9 @@
         """Sessions whose transaction takes longer than what has been read of it allows."""
         found = []
         for session, state in self.sessions.items():
-            allowed_us = TRANSACTION_GRACE_US + state.transaction_bytes * SECOND // MIN_TRANSFER_BYTES_PER_S
+            allowed_us = (
+                TRANSACTION_GRACE_US + state.transaction_bytes * SECOND_US // MIN_TRANSFER_BYTES_PER_S
+            )
             if state.transaction_started_us >= 0 and now - state.transaction_started_us > allowed_us:
                 found.append(session)
         return found
@@ -230,9 +232,9 @@
     def _compute_retry_after_us(self, now: int) -> int:
         """When to retry: after as long as the messages need that go before, at their present rate."""
         self._decay_completions(now)
-        rate = self._completions / (COMPLETION_WINDOW_US / SECOND / 2)  # of a count that decays evenly
+        rate = self._completions / (COMPLETION_WINDOW_US / SECOND_US / 2)  # of a count that decays evenly
         if rate > 0:
-            expected_wait_us = self.deferred_count / rate * SECOND
+            expected_wait_us = self.deferred_count / rate * SECOND_US
         else:
             expected_wait_us = MIN_RETRY_AFTER_US * (1.0 + self.deferred_count / 8)
         return compute_retry_after_us(int(expected_wait_us), self.config.max_retry_after_us, self.rng)
--- a/honeybarrow/admission/duplicate_detection.py
+++ b/honeybarrow/admission/duplicate_detection.py
@@ -138,9 +138,9 @@
             case MessageState.NOT_RUN:
                 return AcceptAsNew()
             case MessageState.AMBIGUOUS:
-                return AcceptAsNew() if is_idempotent else self._decide_on_ambiguous(now, first)
+                return AcceptAsNew() if is_idempotent else self._decide_ambiguous(now, first)
 
-    def _decide_on_ambiguous(self, now: int, first: _FirstSubmission) -> DuplicateDecision:
+    def _decide_ambiguous(self, now: int, first: _FirstSubmission) -> DuplicateDecision:
         if first.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
             return RepeatResult(False)
         # A key's window runs from when the first attempt may have run, which is not before it was submitted.
--- a/honeybarrow/admission/fair_share.py
+++ b/honeybarrow/admission/fair_share.py
@@ -13,10 +13,10 @@
 
 from honeybarrow.errors import InvalidValueError
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 RESERVE_FRACTION = 0.25  # of the capacity, that only users under their share may acquire
-DEMAND_WINDOW_US = 5 * SECOND  # a user that asked this lately counts, also while it has nothing
-WEIGHTS_UPDATE_US = SECOND // 10  # between two sums of the weights
+DEMAND_WINDOW_US = 5 * SECOND_US  # a user that asked this lately counts, also while it has nothing
+WEIGHT_UPDATE_INTERVAL_US = SECOND_US // 10  # between two sums of the weights
 MAX_TRACKED_USERS = 4096  # one that has nothing and asks no more is forgotten first
 
 
@@ -33,7 +33,7 @@
         self.weights = dict(weights or {})
         self.used = 0
         self.used_by: dict[str, int] = {}
-        self._last_request_us: dict[str, int] = {}
+        self._last_request_us_by_user: dict[str, int] = {}
         self._total_weight = 0.0
         self._weights_updated_us = -1
 
@@ -73,20 +73,22 @@
         return self.weights.get(user, 1.0)
 
     def _record_request(self, now: int, user: str) -> None:
-        is_new = user not in self._last_request_us
-        self._last_request_us[user] = now
-        if not is_new and now - self._weights_updated_us < WEIGHTS_UPDATE_US:
+        is_new = user not in self._last_request_us_by_user
+        self._last_request_us_by_user[user] = now
+        if not is_new and now - self._weights_updated_us < WEIGHT_UPDATE_INTERVAL_US:
             return
         self._weights_updated_us = now
-        stale = [
+        stale_users = [
             name
-            for name, at in self._last_request_us.items()
+            for name, at in self._last_request_us_by_user.items()
             if at < now - DEMAND_WINDOW_US and name not in self.used_by
         ]
-        for name in stale:
-            del self._last_request_us[name]
+        for name in stale_users:
+            del self._last_request_us_by_user[name]
         # Danger: names that a client can make up at will would fill the table; the oldest go first.
-        while len(self._last_request_us) > MAX_TRACKED_USERS:
-            del self._last_request_us[min(self._last_request_us, key=self._last_request_us.__getitem__)]
+        while len(self._last_request_us_by_user) > MAX_TRACKED_USERS:
+            del self._last_request_us_by_user[
+                min(self._last_request_us_by_user, key=self._last_request_us_by_user.__getitem__)
+            ]
         # in the order of asking, so that the same events give the same sum to the last bit
-        self._total_weight = sum(self._get_weight(name) for name in self._last_request_us)
+        self._total_weight = sum(self._get_weight(name) for name in self._last_request_us_by_user)
--- a/honeybarrow/mail/client.py
+++ b/honeybarrow/mail/client.py
@@ -48,7 +48,7 @@
 @dataclass(frozen=True, slots=True)
 class RecipientAnswered:
     """A recipient has its reply; ``phase``: the command that it answers, ``is_last``: whether the
-    transaction is over. ``place`` counts the recipients as they were given."""
+    transaction is over. ``index`` counts the recipients as they were given."""
 
     reply: Reply
     phase: Phase
@@ -92,15 +92,19 @@
         self._in = bytearray()
         self._out = bytearray()
         self._reader = ReplyReader()
-        self._extended = True
+        self._used_ehlo = True
         self._content = b""
-        self._unwritten: list[tuple[Phase, bytes]] = []  # commands not yet written, without PIPELINING
-        self._expected: list[Phase] = []
-        self._failed: tuple[Reply, Phase] | None = None  # why no recipient is left
-        self._count = 0  # recipients of the transaction
-        self._unanswered: list[int] = []  # their places, till each has its answer
-        self._rcpt_replies = 0  # of them, how many have the reply to RCPT
-        self._accepted: list[int] = []  # of those, the accepted ones; with LMTP till each has its reply
+        self._unwritten_commands: list[
+            tuple[Phase, bytes]
+        ] = []  # commands not yet written, without PIPELINING
+        self._expected_replies: list[Phase] = []
+        self._failure: tuple[Reply, Phase] | None = None  # why no recipient is left
+        self._recipient_count = 0  # recipients of the transaction
+        self._unanswered_recipients: list[int] = []  # their indexes, till each has its answer
+        self._rcpt_reply_count = 0  # of them, how many have the reply to RCPT
+        self._accepted_recipients: list[
+            int
+        ] = []  # of those, the accepted ones; with LMTP till each has its reply
 
     def take_output(self) -> bytes:
         """The bytes to write to the server, each given once."""
@@ -147,13 +151,13 @@
             *((Phase.RCPT, f"RCPT TO:<{each}>".encode("ascii") + CRLF) for each in recipients),
             (Phase.DATA, b"DATA" + CRLF),
         ]
-        self._content, self.is_committed, self._failed = content, False, None
-        self._count, self._rcpt_replies, self._accepted = len(recipients), 0, []
-        self._unanswered = list(range(len(recipients)))
+        self._content, self.is_committed, self._failure = content, False, None
+        self._recipient_count, self._rcpt_reply_count, self._accepted_recipients = len(recipients), 0, []
+        self._unanswered_recipients = list(range(len(recipients)))
         together = len(commands) if "PIPELINING" in self.extensions else 1
-        self._expected, self._unwritten = [], commands
+        self._expected_replies, self._unwritten_commands = [], commands
         for _ in range(together):
-            self._write_next()
+            self._write_next_command()
 
     def quit(self) -> None:
         """Write QUIT between transactions."""
@@ -191,7 +195,7 @@
     def _on_reply(self, reply: Reply) -> list[Event]:
         if self.phase is Phase.GREETING:
             if reply.code != 220:
-                return [self._refuse(reply)]
+                return [self._reject_session(reply)]
             self._out += f"{'LHLO' if self.lmtp else 'EHLO'} {self.name}".encode("ascii") + CRLF
             self.phase = Phase.HELLO
             return []
@@ -216,97 +220,98 @@
 
     def _on_hello_reply(self, reply: Reply) -> list[Event]:
         if not reply.is_positive:
-            if self._extended and not self.lmtp and reply.code in (500, 502, 504):
-                self._extended = False
+            if self._used_ehlo and not self.lmtp and reply.code in (500, 502, 504):
+                self._used_ehlo = False
                 self._out += f"HELO {self.name}".encode("ascii") + CRLF
                 return []
-            return [self._refuse(reply)]
-        for line in reply.lines if self._extended else ():
+            return [self._reject_session(reply)]
+        for line in reply.lines if self._used_ehlo else ():
             word, _, rest = line.strip().partition(" ")
             self.extensions[word.upper()] = rest
         self.phase = Phase.IDLE
         return [Ready(frozenset(self.extensions))]
 
     def _on_transaction_reply(self, reply: Reply) -> list[Event]:
-        phase = self._expected.pop(0)
+        phase = self._expected_replies.pop(0)
         if "XADVICE" not in self.extensions:  # brackets in the text of others mean what they like
             reply = replace(reply, wait_ms=0, within_ms=0, load=())
         if reply.code == 421 and phase is not Phase.FINAL:
-            return self._close(self._failed or (reply, phase))
+            return self._close_session(self._failure or (reply, phase))
         if phase is Phase.FINAL:
             return self._on_final_reply(reply)
         good = reply.code == 354 if phase is Phase.DATA else 200 <= reply.code < 300
         events: list[Event] = []
         if phase is Phase.RCPT:
             events += self._on_rcpt_reply(reply, good)
-        elif not good and self._failed is None:
-            self._failed = (reply, phase)
-        if phase is Phase.DATA and good and self._failed is None:
+        elif not good and self._failure is None:
+            self._failure = (reply, phase)
+        if phase is Phase.DATA and good and self._failure is None:
             self._write_content()
             return events
-        return events + self._continue(reply, phase)
+        return events + self._advance_transaction(reply, phase)
 
     def _on_rcpt_reply(self, reply: Reply, good: bool) -> list[Event]:
         """The reply to the next RCPT, in the order of the recipients."""
-        place, self._rcpt_replies = self._rcpt_replies, self._rcpt_replies + 1
-        if good and self._failed is None:
-            self._accepted.append(place)
-        elif self._failed is None:
-            if self._rcpt_replies == self._count and not self._accepted:
-                self._failed = (reply, Phase.RCPT)  # given at the end, when all replies are in
+        index, self._rcpt_reply_count = self._rcpt_reply_count, self._rcpt_reply_count + 1
+        if good and self._failure is None:
+            self._accepted_recipients.append(index)
+        elif self._failure is None:
+            if self._rcpt_reply_count == self._recipient_count and not self._accepted_recipients:
+                self._failure = (reply, Phase.RCPT)  # given at the end, when all replies are in
             else:
-                self._unanswered.remove(place)
-                return [RecipientAnswered(reply, Phase.RCPT, place, False)]
+                self._unanswered_recipients.remove(index)
+                return [RecipientAnswered(reply, Phase.RCPT, index, False)]
         return []
 
     def _write_content(self) -> None:
         # Danger: from here on the server may take the message; all before is known not to run.
         self._out += grammar.stuff_dots(self._content)
         self.is_committed = True
-        self._expected += [Phase.FINAL] * (len(self._accepted) if self.lmtp else 1)
+        self._expected_replies += [Phase.FINAL] * (len(self._accepted_recipients) if self.lmtp else 1)
         self.phase = Phase.FINAL
 
-    def _continue(self, reply: Reply, phase: Phase) -> list[Event]:
+    def _advance_transaction(self, reply: Reply, phase: Phase) -> list[Event]:
         """Write the next command, or end a transaction that has failed once all replies are in."""
-        if self._failed is not None:
-            self._unwritten.clear()
+        if self._failure is not None:
+            self._unwritten_commands.clear()
             if phase is Phase.DATA and reply.code == 354:
                 # The server takes data though it refused: an empty message might be delivered. Leave.
-                return self._close(self._failed)
-            if not self._expected:
-                return self._end_early(*self._failed)
-        elif self._unwritten and not self._expected:
-            self._write_next()
-        if self._expected:
-            self.phase = self._expected[0]
+                return self._close_session(self._failure)
+            if not self._expected_replies:
+                return self._abort_transaction(*self._failure)
+        elif self._unwritten_commands and not self._expected_replies:
+            self._write_next_command()
+        if self._expected_replies:
+            self.phase = self._expected_replies[0]
         return []
 
     def _on_final_reply(self, reply: Reply) -> list[Event]:
         """A reply to the end of data: for one recipient with LMTP, else for all accepted ones."""
-        places = [self._accepted.pop(0)] if self.lmtp else self._accepted
-        last = not self.lmtp or not self._accepted
+        indexes = [self._accepted_recipients.pop(0)] if self.lmtp else self._accepted_recipients
+        last = not self.lmtp or not self._accepted_recipients
         events: list[Event] = [
-            RecipientAnswered(reply, Phase.FINAL, place, last and place == places[-1]) for place in places
+            RecipientAnswered(reply, Phase.FINAL, index, last and index == indexes[-1]) for index in indexes
         ]
         if reply.code == 421 and not last:
             events += [
-                RecipientAnswered(reply, Phase.FINAL, p, p == self._accepted[-1]) for p in self._accepted
+                RecipientAnswered(reply, Phase.FINAL, p, p == self._accepted_recipients[-1])
+                for p in self._accepted_recipients
             ]
         if reply.code == 421:
             self.is_reusable, self.phase = False, Phase.CLOSED
         elif last:
             self.phase = Phase.IDLE
         if last:
-            self._content, self._accepted = b"", []
+            self._content, self._accepted_recipients = b"", []
         return events
 
     def _answer_remaining(self, reply: Reply, phase: Phase) -> list[Event]:
         """The answer of those that have none: a sender or DATA refused, or all recipients."""
-        places, self._unanswered = self._unanswered, []
-        self._accepted, self._content = [], b""
-        return [RecipientAnswered(reply, phase, place, place == places[-1]) for place in places]
+        indexes, self._unanswered_recipients = self._unanswered_recipients, []
+        self._accepted_recipients, self._content = [], b""
+        return [RecipientAnswered(reply, phase, index, index == indexes[-1]) for index in indexes]
 
-    def _end_early(self, reply: Reply, phase: Phase) -> list[Event]:
+    def _abort_transaction(self, reply: Reply, phase: Phase) -> list[Event]:
         events = self._answer_remaining(reply, phase)
         self.phase = Phase.IDLE
         if phase in (Phase.RCPT, Phase.DATA):
@@ -314,17 +319,17 @@
             self.phase = Phase.RESET
         return events
 
-    def _close(self, failed: tuple[Reply, Phase]) -> list[Event]:
+    def _close_session(self, failed: tuple[Reply, Phase]) -> list[Event]:
         self.is_reusable, self.phase = False, Phase.CLOSED
         return self._answer_remaining(*failed)
 
-    def _write_next(self) -> None:
-        phase, line = self._unwritten.pop(0)
+    def _write_next_command(self) -> None:
+        phase, line = self._unwritten_commands.pop(0)
         self._out += line
-        self._expected.append(phase)
-        self.phase = self._expected[0]
+        self._expected_replies.append(phase)
+        self.phase = self._expected_replies[0]
 
-    def _refuse(self, reply: Reply) -> Event:
+    def _reject_session(self, reply: Reply) -> Event:
         self.is_reusable, self.phase = False, Phase.CLOSED
         return SessionRefused(reply)
 
--- a/honeybarrow/mail/content.py
+++ b/honeybarrow/mail/content.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from honeybarrow.mail.grammar import CRLF, Reply
-from honeybarrow.mail.server_events import BAD_CONTENT, LONG_TEXT, TOO_LARGE, SessionLimits
+from honeybarrow.mail.server_events import BAD_CONTENT, MESSAGE_TOO_LARGE, TEXT_LINE_TOO_LONG, SessionLimits
 
 
 class ContentReader:
@@ -22,13 +22,13 @@
         """A new message begins."""
         self._content, self.refusal = bytearray(), None
 
-    def keep(self, data: bytes) -> None:
+    def append(self, data: bytes) -> None:
         """Add bytes of the content."""
         self._content += data
         # Danger: endless data; what is past the limit is dropped, all but the two bytes that
         # the mark of the end may begin with, so that memory stays bounded until the client ends it.
         if self.refusal is None and len(self._content) > self.limits.max_message_bytes:
-            self.refusal = TOO_LARGE
+            self.refusal = MESSAGE_TOO_LARGE
         if self.refusal is not None:
             del self._content[:-2]
 
@@ -52,13 +52,13 @@
                 take = end + 3
         if end >= 0:
             if end > 0:
-                self.keep(bytes(data[:end]))
+                self.append(bytes(data[:end]))
             del data[:take]
             return True
-        hold = 4  # may be the start of the mark
-        if len(data) > hold:
-            self.keep(bytes(data[:-hold]))
-            del data[:-hold]
+        max_mark_prefix = 4  # may be the start of the mark
+        if len(data) > max_mark_prefix:
+            self.append(bytes(data[:-max_mark_prefix]))
+            del data[:-max_mark_prefix]
         return False
 
     def end_line(self) -> None:
@@ -72,21 +72,21 @@
         ``stuffed``: the dots of RFC 5321 4.5.2 are taken off.
         """
         content, self._content = bytes(self._content), bytearray()
-        bad = self.refusal or check_content(content, self.limits.max_text_line_bytes)
-        if bad is not None:
-            return bad
+        refusal = self.refusal or check_content(content, self.limits.max_text_line_bytes)
+        if refusal is not None:
+            return refusal
         if stuffed:
             content = content[1:] if content.startswith(b".") else content
             content = content.replace(b"\r\n.", CRLF)
         return content
 
 
-def check_content(content: bytes, text_line: int) -> Reply | None:
-    """The reply that refuses a message's content, or ``None``. ``text_line``: most bytes of a line."""
+def check_content(content: bytes, max_line_bytes: int) -> Reply | None:
+    """The reply that refuses a message's content, or ``None``. ``max_line_bytes``: most bytes of a line."""
     if content.count(b"\r") != content.count(CRLF) or content.count(b"\n") != content.count(CRLF):
         return BAD_CONTENT
     if b"\0" in content:
         return BAD_CONTENT
-    if len(content) > text_line and max(map(len, content.split(CRLF))) + 2 > text_line:
-        return LONG_TEXT
+    if len(content) > max_line_bytes and max(map(len, content.split(CRLF))) + 2 > max_line_bytes:
+        return TEXT_LINE_TOO_LONG
     return None
--- a/honeybarrow/mail/grammar.py
+++ b/honeybarrow/mail/grammar.py
@@ -59,11 +59,11 @@
         """A refusal for want of room or rate, by the enhanced code, or by the code where there is none."""
         if not 400 <= self.code < 500:
             return False
-        if self.wait_ms > 0 or self.enhanced in FULL_ENHANCED:
+        if self.wait_ms > 0 or self.enhanced in CAPACITY_ENHANCED_CODES:
             return True
-        return not self.enhanced and self.code in FULL_CODES
+        return not self.enhanced and self.code in CAPACITY_CODES
 
-    def _advice(self) -> list[str]:
+    def _advice_fields(self) -> list[str]:
         numbers = (("wait", self.wait_ms), ("within", self.within_ms))
         parts = [f"{name}={value}" for name, value in numbers if value > 0]
         if self.load:
@@ -73,7 +73,7 @@
     def encode(self, advice: bool = False) -> bytes:
         """The reply as bytes; with ``advice`` the XADVICE part is written."""
         words = [self.enhanced] if self.enhanced else []
-        if advice and (parts := self._advice()):
+        if advice and (parts := self._advice_fields()):
             words.append("[" + " ".join(parts) + "]")
         head = " ".join([*words, sanitize(self.text)]).rstrip()
         rows = [head, *(sanitize(line) for line in self.lines)]
@@ -85,12 +85,12 @@
 
 
 # X.3.1 system full, X.3.2 not accepting, X.4.5 congestion (RFC 3463 3.4 and 3.5), 4.5.3 too many recipients
-FULL_ENHANCED = frozenset({"4.3.1", "4.3.2", "4.4.5", "4.5.3"})
-FULL_CODES = frozenset({421, 450, 452})
+CAPACITY_ENHANCED_CODES = frozenset({"4.3.1", "4.3.2", "4.4.5", "4.5.3"})
+CAPACITY_CODES = frozenset({421, 450, 452})
 MAX_REPLY_TEXT_CHARS = 400  # a reply line is 512 bytes at most (RFC 5321 4.5.3.1.5); kept well under it
-ENHANCED = re.compile(r"([245])\.(\d{1,3})\.(\d{1,3})(?:\s+|$)")
-ADVICE_PART = r"(?:wait=\d{1,9}|within=\d{1,9}|load=[0-9.,eE+-]{1,60})"
-ADVICE = re.compile(rf"\[({ADVICE_PART}(?: {ADVICE_PART}){{0,2}})\]\s*")
+ENHANCED_CODE_PATTERN = re.compile(r"([245])\.(\d{1,3})\.(\d{1,3})(?:\s+|$)")
+ADVICE_FIELD = r"(?:wait=\d{1,9}|within=\d{1,9}|load=[0-9.,eE+-]{1,60})"
+ADVICE_PATTERN = re.compile(rf"\[({ADVICE_FIELD}(?: {ADVICE_FIELD}){{0,2}})\]\s*")
 
 
 def sanitize(text: str) -> str:
@@ -109,7 +109,7 @@
 
 def read_advice(text: str) -> tuple[str, Advice]:
     """Take the XADVICE part off a reply's text; one that is not well-formed stays text."""
-    match = ADVICE.match(text)
+    match = ADVICE_PATTERN.match(text)
     if not match:
         return text, Advice()
     parts = dict(part.split("=", 1) for part in match.group(1).split(" "))
@@ -117,13 +117,13 @@
         load = tuple(float(item) for item in parts["load"].split(",")) if "load" in parts else ()
     except ValueError:
         return text, Advice()
-    if any(not math.isfinite(item) or abs(item) > MAX_LOAD for item in load):
+    if any(not math.isfinite(item) or abs(item) > MAX_ADVICE_LOAD for item in load):
         return text, Advice()
     found = Advice(int(parts.get("wait", 0)), int(parts.get("within", 0)), load)
     return text[match.end() :], found
 
 
-MAX_LOAD = 1e9
+MAX_ADVICE_LOAD = 1e9
 
 
 class ReplyReader:
@@ -160,12 +160,12 @@
             return None
         rows, self._rows = self._rows, []
         first, enhanced = rows[0], ""
-        match = ENHANCED.match(first)
+        match = ENHANCED_CODE_PATTERN.match(first)
         # the class of an enhanced code must agree with its code (RFC 2034 4), else it is text
         if match and match.group(1) == str(code)[0]:
             enhanced, first = match.group(0).strip(), first[match.end() :]
-        text, told = read_advice(first)
-        return Reply(code, enhanced, text, told.wait_ms, told.load, tuple(rows[1:]), told.within_ms)
+        text, advice = read_advice(first)
+        return Reply(code, enhanced, text, advice.wait_ms, advice.load, tuple(rows[1:]), advice.within_ms)
 
 
 class InvalidReplyError(HoneybarrowError, ValueError):
@@ -177,12 +177,12 @@
 
 # --- commands ---------------------------------------------------------------------------------------
 
-SYNTAX = Reply(501, "5.5.4", "syntax error in parameters")
-UNKNOWN = Reply(500, "5.5.1", "command not recognized")
-BARE = Reply(500, "5.5.2", "bare CR, LF or NUL in a command")
-LONG_LINE = Reply(500, "5.5.2", "line too long")
-BAD_PATH = Reply(501, "5.1.7", "bad address syntax")
-BAD_RECIPIENT = Reply(501, "5.1.3", "bad address syntax")
+SYNTAX_ERROR = Reply(501, "5.5.4", "syntax error in parameters")
+UNKNOWN_COMMAND = Reply(500, "5.5.1", "command not recognized")
+BARE_CONTROL_CHARACTER = Reply(500, "5.5.2", "bare CR, LF or NUL in a command")
+COMMAND_LINE_TOO_LONG = Reply(500, "5.5.2", "line too long")
+INVALID_SENDER_ADDRESS = Reply(501, "5.1.7", "bad address syntax")
+INVALID_RECIPIENT_ADDRESS = Reply(501, "5.1.3", "bad address syntax")
 
 
 @dataclass(frozen=True, slots=True)
@@ -196,14 +196,14 @@
 def read_command(line: bytes) -> Command:
     """A line without its CRLF as a command (RFC 5321 4.1.1). Raises :class:`GrammarError`."""
     if b"\r" in line or b"\n" in line or b"\0" in line:
-        raise GrammarError(BARE)
+        raise GrammarError(BARE_CONTROL_CHARACTER)
     try:
         text = line.decode("ascii")
     except UnicodeDecodeError:
         raise GrammarError(Reply(500, "5.5.2", "a command must be ASCII")) from None
     verb, _, rest = text.rstrip(" \t").partition(" ")
     if not verb.isalpha():
-        raise GrammarError(UNKNOWN)
+        raise GrammarError(UNKNOWN_COMMAND)
     return Command(verb.upper(), rest.strip(" "))
 
 
@@ -220,41 +220,41 @@
 
 ATEXT = r"[A-Za-z0-9!#$%&'*+/=?^_`{|}~-]+"
 LABEL = r"[A-Za-z0-9](?:[A-Za-z0-9-]{0,61}[A-Za-z0-9])?"
-MAILBOX = re.compile(
+MAILBOX_PATTERN = re.compile(
     rf'((?:{ATEXT}(?:\.{ATEXT})*)|"(?:[ !#-\[\]-~]|\\[ -~])*")'
     rf"@((?:{LABEL}(?:\.{LABEL})*)|\[[A-Za-z0-9:.]{{1,60}}\])"
 )
-ROUTE = re.compile(rf"(?:@{LABEL}(?:\.{LABEL})*)(?:,@{LABEL}(?:\.{LABEL})*)*:")
-LOCAL_LIMIT, DOMAIN_LIMIT, PATH_LIMIT = 64, 255, 256  # RFC 5321 4.5.3.1
+SOURCE_ROUTE_PATTERN = re.compile(rf"(?:@{LABEL}(?:\.{LABEL})*)(?:,@{LABEL}(?:\.{LABEL})*)*:")
+MAX_LOCAL_PART_CHARS, MAX_DOMAIN_CHARS, MAX_PATH_CHARS = 64, 255, 256  # RFC 5321 4.5.3.1
 
 
-def read_path(text: str, keyword: str, bad: Reply) -> tuple[Path, str]:
+def read_path(text: str, keyword: str, invalid_reply: Reply) -> tuple[Path, str]:
     """``FROM:<path>`` or ``TO:<path>``: the path and the rest. A source route is dropped (appendix C)."""
     if text[: len(keyword)].upper() != keyword:
-        raise GrammarError(SYNTAX)
+        raise GrammarError(SYNTAX_ERROR)
     body = text[len(keyword) :].lstrip(" ")
     if not body.startswith("<"):
-        raise GrammarError(bad)
-    end = _path_end(body)
+        raise GrammarError(invalid_reply)
+    end = _find_path_end(body)
     if end < 0:
-        raise GrammarError(bad)
+        raise GrammarError(invalid_reply)
     inner, rest = body[1:end], body[end + 1 :]
     if rest and not rest.startswith(" "):
-        raise GrammarError(SYNTAX)
+        raise GrammarError(SYNTAX_ERROR)
     if not inner:
         return Path("", ""), rest.strip()
-    route = ROUTE.match(inner)
+    route = SOURCE_ROUTE_PATTERN.match(inner)
     inner = inner[route.end() :] if route else inner
-    match = MAILBOX.fullmatch(inner)
+    match = MAILBOX_PATTERN.fullmatch(inner)
     if not match:
-        raise GrammarError(bad)
+        raise GrammarError(invalid_reply)
     local, domain = match.group(1), match.group(2).lower()
-    if len(local) > LOCAL_LIMIT or len(domain) > DOMAIN_LIMIT or len(inner) + 2 > PATH_LIMIT:
-        raise GrammarError(bad)
+    if len(local) > MAX_LOCAL_PART_CHARS or len(domain) > MAX_DOMAIN_CHARS or len(inner) + 2 > MAX_PATH_CHARS:
+        raise GrammarError(invalid_reply)
     return Path(local, domain), rest.strip()
 
 
-def _path_end(body: str) -> int:
+def _find_path_end(body: str) -> int:
     """The index of the bracket that ends a path, outside quoted strings; -1 if there is none."""
     quoted, i = False, 1
     while i < len(body):
@@ -271,7 +271,7 @@
 def read_address(text: str) -> Path:
     """``local@domain``, or nothing for the null path. Raises ``ValueError``."""
     try:
-        path, rest = read_path(f"TO:<{text}>", "TO:", BAD_RECIPIENT)
+        path, rest = read_path(f"TO:<{text}>", "TO:", INVALID_RECIPIENT_ADDRESS)
     except GrammarError:
         rest = text
     if rest:
@@ -290,8 +290,10 @@
     envelope_id: str = ""
 
 
-XTEXT = re.compile(r"(?:[!-*,-<>-~]|\+[0-9A-F]{2}){1,100}")  # RFC 3461 4; ENVID has 100 characters at most
-BY = re.compile(r"(-?\d{1,9});([RN])T?", re.IGNORECASE)
+XTEXT_PATTERN = re.compile(
+    r"(?:[!-*,-<>-~]|\+[0-9A-F]{2}){1,100}"
+)  # RFC 3461 4; ENVID has 100 characters at most
+BY_PATTERN = re.compile(r"(-?\d{1,9});([RN])T?", re.IGNORECASE)
 
 
 def read_mail_parameters(text: str) -> MailParameters:
@@ -302,20 +304,20 @@
         name, _, value = word.partition("=")
         name = name.upper()
         if name in seen:
-            raise GrammarError(SYNTAX)
+            raise GrammarError(SYNTAX_ERROR)
         seen.add(name)
         if name == "SIZE" and value.isdigit() and len(value) <= 20:
             size = int(value)
         elif name == "BODY" and value.upper() in ("7BIT", "8BITMIME"):
             eight = value.upper() == "8BITMIME"
-        elif name == "BY" and (match := BY.fullmatch(value)):
+        elif name == "BY" and (match := BY_PATTERN.fullmatch(value)):
             by_s, by_return = int(match.group(1)), match.group(2).upper() == "R"
             if by_return and by_s <= 0:  # RFC 2852 4: a returned message needs time to be delivered in
-                raise GrammarError(SYNTAX)
-        elif name == "ENVID" and XTEXT.fullmatch(value):
+                raise GrammarError(SYNTAX_ERROR)
+        elif name == "ENVID" and XTEXT_PATTERN.fullmatch(value):
             envelope_id = value
         elif name in ("SIZE", "BODY", "BY", "ENVID"):
-            raise GrammarError(SYNTAX)
+            raise GrammarError(SYNTAX_ERROR)
         else:
             raise GrammarError(Reply(555, "5.5.4", "parameter not implemented"))
     return MailParameters(size, eight, by_s, by_return, envelope_id)
--- a/honeybarrow/mail/server.py
+++ b/honeybarrow/mail/server.py
@@ -21,19 +21,19 @@
     read_sender,
 )
 from honeybarrow.mail.server_events import (
-    ALLOWED,
-    BAD_CREDENTIALS,
-    BAD_MECHANISM,
-    EARLY,
+    ALLOWED_COMMANDS,
+    AUTH_NOT_OFFERED,
+    COMMAND_VERBS,
     FIXED_REPLIES,
-    IN_TLS,
-    LAST_IN_GROUP,
-    NEED_TLS,
-    NO_AUTH,
-    NO_TLS,
+    LAST_IN_PIPELINE,
+    MALFORMED_CREDENTIALS,
     OUT_OF_ORDER,
+    SENT_BEFORE_REPLY,
+    TLS_ALREADY_ACTIVE,
+    TLS_NOT_OFFERED,
+    TLS_REQUIRED,
     TOO_MANY_RECIPIENTS,
-    VERBS,
+    UNSUPPORTED_MECHANISM,
     Closed,
     Credentials,
     Event,
@@ -70,10 +70,10 @@
         self.offer_tls, self.offer_auth, self.tls = offer_tls, offer_auth, False
         self.user = ""  # who has proved to be there by AUTH
         self.peer_name = ""
-        self._skipping = False  # the rest of an over-long command line
+        self._is_skipping_line = False  # the rest of an over-long command line
         self._transaction: _Transaction | None = None
         self._pending_event: Sender | Recipient | Message | Credentials | None = None
-        self._state_before_chunk = State.FRESH
+        self._state_before_chunk = State.BEFORE_HELLO
         self._chunk_bytes_left, self._is_last_chunk = (
             0,
             False,
@@ -81,12 +81,12 @@
         self._chunk_refusal: Reply | None = None  # why a BDAT's bytes are dropped: it came out of order
         self._replies_due = 0  # replies that the event still needs
         self._content = ContentReader(self.limits)
-        self._has_ended = False
+        self._is_closed_reported = False
 
     @property
     def is_in_content(self) -> bool:
         """Whether bytes of a message are on their way."""
-        return self.state in (State.DATA, State.CHUNK)
+        return self.state in (State.DATA, State.CHUNK_DATA)
 
     @property
     def is_in_transaction(self) -> bool:
@@ -95,31 +95,31 @@
 
     def next_event(self) -> Event | None:
         """The next event, or ``None`` when more bytes or an answer are needed."""
-        while self.state is not State.ASKED:
+        while self.state is not State.AWAITING_REPLY:
             if self.state is State.CLOSED:
-                if self._has_ended:
+                if self._is_closed_reported:
                     return None
-                self._has_ended = True
+                self._is_closed_reported = True
                 return Closed()
             if self.state is State.DATA:
-                event = self._content_event()
-            elif self.state is State.CHUNK:
-                event = self._chunk_event()
+                event = self._read_content_event()
+            elif self.state is State.CHUNK_DATA:
+                event = self._read_chunk_event()
             else:
-                event = self._command_event()
+                event = self._read_command_event()
             if event is None:
                 return None
-            if not isinstance(event, _Nothing):
+            if not isinstance(event, _NoEvent):
                 return event
         return None
 
-    def _command_event(self) -> Event | _Nothing | None:
+    def _read_command_event(self) -> Event | _NoEvent | None:
         at = self._in.find(CRLF)
-        if self._skipping:
+        if self._is_skipping_line:
             return self._skip_line(at)
         if at > self.limits.max_command_bytes or (at < 0 and len(self._in) > self.limits.max_command_bytes):
-            self._skipping = True
-            return NOTHING
+            self._is_skipping_line = True
+            return NO_EVENT
         if at < 0:
             return None
         line = bytes(self._in[:at])
@@ -138,25 +138,25 @@
             del self._in[:-1]
             return None
         del self._in[: at + 2]
-        self._skipping = False
-        return self._reject_input(grammar.LONG_LINE)
+        self._is_skipping_line = False
+        return self._reject_input(grammar.COMMAND_LINE_TOO_LONG)
 
-    def _check_command(self, command: grammar.Command) -> Event | _Nothing | None:
+    def _check_command(self, command: grammar.Command) -> Event | _NoEvent | None:
         if command.verb == "BDAT":
             return self._on_bdat(command.rest)
-        if command.verb not in VERBS:
-            raise GrammarError(grammar.UNKNOWN)
-        if command.verb not in ALLOWED[self.state]:
+        if command.verb not in COMMAND_VERBS:
+            raise GrammarError(grammar.UNKNOWN_COMMAND)
+        if command.verb not in ALLOWED_COMMANDS[self.state]:
             raise GrammarError(OUT_OF_ORDER)
-        if command.verb in LAST_IN_GROUP and self._in:
+        if command.verb in LAST_IN_PIPELINE and self._in:
             # Danger: bytes behind DATA or EHLO were written without knowing the reply; read as
             # commands or content they mean what nobody meant (RFC 2920 3.1; command injection).
-            self._write_reply(EARLY)
+            self._write_reply(SENT_BEFORE_REPLY)
             self.state = State.CLOSED
-            return InputRejected(EARLY)
+            return InputRejected(SENT_BEFORE_REPLY)
         return self._run_command(command)
 
-    def _run_command(self, command: grammar.Command) -> Event | _Nothing:
+    def _run_command(self, command: grammar.Command) -> Event | _NoEvent:
         verb, rest = command.verb, command.rest
         match verb:
             case "HELO" | "EHLO" | "LHLO":
@@ -178,7 +178,7 @@
                 if verb == "RSET":
                     self._reset()
                 self._write_reply(FIXED_REPLIES[verb])
-        return NOTHING
+        return NO_EVENT
 
     def _on_rcpt(self, rest: str) -> Event:
         recipient = read_recipient(rest)
@@ -188,19 +188,19 @@
             return InputRejected(TOO_MANY_RECIPIENTS)
         return self._await_reply(recipient)
 
-    def _on_data(self, rest: str) -> _Nothing:
+    def _on_data(self, rest: str) -> _NoEvent:
         if rest:
-            raise GrammarError(grammar.SYNTAX)
+            raise GrammarError(grammar.SYNTAX_ERROR)
         self._write_reply(Reply(354, "", "go ahead, end with a dot alone"))
         self.state = State.DATA
         self._content.start()
-        return NOTHING
+        return NO_EVENT
 
     def _on_hello(self, verb: str, name: str) -> Event:
         if (verb == "LHLO") != self.lmtp:
             raise GrammarError(Reply(500, "5.5.1", "LHLO here" if self.lmtp else "this is not LMTP"))
         if not name or " " in name:
-            raise GrammarError(grammar.SYNTAX)
+            raise GrammarError(grammar.SYNTAX_ERROR)
         self._reset()
         self.peer_name, self.extended = grammar.sanitize(name), verb != "HELO"
         self.state = State.READY
@@ -218,77 +218,81 @@
 
     def _on_starttls(self, rest: str) -> Event:
         if rest:
-            raise GrammarError(grammar.SYNTAX)
+            raise GrammarError(grammar.SYNTAX_ERROR)
         if not self.offer_tls or self.tls:
-            raise GrammarError(IN_TLS if self.tls else NO_TLS)
+            raise GrammarError(TLS_ALREADY_ACTIVE if self.tls else TLS_NOT_OFFERED)
         # Danger: commands that someone on the way put in behind STARTTLS would be read as sent inside
         # it (RFC 3207 5, CVE-2011-0411). What is there in the clear is dropped unread.
         self._in.clear()
         self._write_reply(Reply(220, "2.0.0", "go ahead"))
-        self.state = State.FRESH
+        self.state = State.BEFORE_HELLO
         return StartTls()
 
     def on_tls_started(self) -> None:
         """TLS is on: the session starts anew and discards what it knew of the client (RFC 3207 4.2)."""
-        self.tls, self.state = True, State.FRESH
+        self.tls, self.state = True, State.BEFORE_HELLO
         self.peer_name, self.extended, self.user = "", False, ""
         self._transaction = None
         self._in.clear()
 
-    def _on_auth(self, rest: str) -> Event | _Nothing:
+    def _on_auth(self, rest: str) -> Event | _NoEvent:
         if not self.offer_auth or self.user:
-            raise GrammarError(OUT_OF_ORDER if self.user else NO_AUTH)
+            raise GrammarError(OUT_OF_ORDER if self.user else AUTH_NOT_OFFERED)
         if not self.tls:
-            raise GrammarError(NEED_TLS)
+            raise GrammarError(TLS_REQUIRED)
         mechanism, _, initial = rest.partition(" ")
         if mechanism.upper() != "PLAIN":
-            raise GrammarError(BAD_MECHANISM)
+            raise GrammarError(UNSUPPORTED_MECHANISM)
         if initial:
             return self._on_credentials(initial.encode("ascii"))
         self._out += b"334 " + CRLF
         self.state = State.AUTH
-        return NOTHING
+        return NO_EVENT
 
     def _on_credentials(self, line: bytes) -> Event:
         credentials = read_credentials(line)
-        return self._reject_input(BAD_CREDENTIALS) if credentials is None else self._await_reply(credentials)
+        return (
+            self._reject_input(MALFORMED_CREDENTIALS)
+            if credentials is None
+            else self._await_reply(credentials)
+        )
 
     # content
 
-    def _on_bdat(self, rest: str) -> Event | _Nothing:
+    def _on_bdat(self, rest: str) -> Event | _NoEvent:
         """BDAT (RFC 3030 2): its bytes follow at once, so also a refused one must be read past."""
         chunk = read_chunk(rest)
         if chunk is None:
             # where the bytes end isn't known: nothing behind can be read as commands
-            self._write_reply(grammar.SYNTAX)
+            self._write_reply(grammar.SYNTAX_ERROR)
             self.state = State.CLOSED
-            return InputRejected(grammar.SYNTAX)
-        self._chunk_refusal = None if "BDAT" in ALLOWED[self.state] else OUT_OF_ORDER
+            return InputRejected(grammar.SYNTAX_ERROR)
+        self._chunk_refusal = None if "BDAT" in ALLOWED_COMMANDS[self.state] else OUT_OF_ORDER
         if self._chunk_refusal is None and self.state is State.RCPT:
             self._content.start()
         self._state_before_chunk = self.state
-        self._chunk_bytes_left, self._is_last_chunk, self.state = chunk.size, chunk.is_last, State.CHUNK
-        return NOTHING
+        self._chunk_bytes_left, self._is_last_chunk, self.state = chunk.size, chunk.is_last, State.CHUNK_DATA
+        return NO_EVENT
 
-    def _chunk_event(self) -> Event | _Nothing | None:
+    def _read_chunk_event(self) -> Event | _NoEvent | None:
         data = bytes(self._in[: self._chunk_bytes_left])
         del self._in[: self._chunk_bytes_left]
         self._chunk_bytes_left -= len(data)
         if self._chunk_refusal is None:
-            self._content.keep(data)
+            self._content.append(data)
         if self._chunk_bytes_left:
             return None
         if self._chunk_refusal is not None:
             self.state = self._state_before_chunk
             return self._reject_input(self._chunk_refusal)
         if not self._is_last_chunk:
-            self.state = State.CHUNKS
+            self.state = State.BETWEEN_CHUNKS
             self._write_reply(self._content.refusal or Reply(250, "2.0.0", "go on"))
-            return NOTHING
+            return NO_EVENT
         self._content.end_line()
         return self._on_content_complete(stuffed=False)
 
-    def _content_event(self) -> Event | _Nothing | None:
+    def _read_content_event(self) -> Event | _NoEvent | None:
         return self._on_content_complete(stuffed=True) if self._content.read_lines(self._in) else None
 
     def _on_content_complete(self, stuffed: bool) -> Event:
@@ -299,7 +303,7 @@
             for _ in transaction.recipients if self.lmtp else (None,):
                 self._write_reply(content)
             self._reset()
-            self._errors += 1
+            self._error_count += 1
             return InputRejected(content)
         event = Message(transaction.sender, transaction.parameters, tuple(transaction.recipients), content)
         return self._await_reply(event)
@@ -314,8 +318,8 @@
         """
         if self.state is State.CLOSED:
             return
-        asked = self._pending_event
-        if asked is None or len(replies) > self._replies_due:
+        event = self._pending_event
+        if event is None or len(replies) > self._replies_due:
             raise RuntimeError(f"{len(replies)} replies come where {self._replies_due} are due")
         self._replies_due -= len(replies)
         for reply in replies:
@@ -323,18 +327,18 @@
         if self._replies_due:
             return
         self._pending_event = None
-        if isinstance(asked, Sender):
+        if isinstance(event, Sender):
             taken = replies[0].is_positive
-            self._transaction = _Transaction(asked.path, asked.parameters) if taken else None
+            self._transaction = _Transaction(event.path, event.parameters) if taken else None
             self.state = State.MAIL if taken else State.READY
-        elif isinstance(asked, Recipient):
+        elif isinstance(event, Recipient):
             assert self._transaction is not None
             if replies[0].is_positive:
-                self._transaction.recipients.append(asked.path)
+                self._transaction.recipients.append(event.path)
             self.state = State.RCPT if self._transaction.recipients else State.MAIL
-        elif isinstance(asked, Credentials):
-            self.user = asked.name if replies[0].is_positive else ""
-            self._errors += not replies[0].is_positive
+        elif isinstance(event, Credentials):
+            self.user = event.name if replies[0].is_positive else ""
+            self._error_count += not replies[0].is_positive
             self.state = State.READY
         else:
             self._reset()
@@ -342,18 +346,18 @@
             self.state = State.CLOSED
 
     def _await_reply(self, event: Sender | Recipient | Message | Credentials) -> Event:
-        self._pending_event, self.state = event, State.ASKED
+        self._pending_event, self.state = event, State.AWAITING_REPLY
         self._replies_due = len(event.recipients) if self.lmtp and isinstance(event, Message) else 1
         return event
 
     def _reset(self) -> None:
         self._transaction = None
-        if self.state is not State.FRESH:
+        if self.state is not State.BEFORE_HELLO:
             self.state = State.READY
 
 
-class _Nothing:
+class _NoEvent:
     """An input that was dealt with and gives no event."""
 
 
-NOTHING = _Nothing()
+NO_EVENT = _NoEvent()
--- a/honeybarrow/mail/server_buffers.py
+++ b/honeybarrow/mail/server_buffers.py
@@ -11,11 +11,11 @@
 
     def __init__(self, name: str, lmtp: bool, limits: SessionLimits) -> None:
         self.name, self.lmtp, self.limits = name, lmtp, limits
-        self.state = State.FRESH
+        self.state = State.BEFORE_HELLO
         self.extended = False
         self._in = bytearray()
         self._out = bytearray()
-        self._errors = 0
+        self._error_count = 0
 
     def greet(self) -> None:
         """Write the greeting."""
@@ -23,7 +23,7 @@
         self._out += Reply(220, "", f"{self.name} {kind} ready").encode()
 
     def refuse(self, reply: Reply) -> None:
-        """Write a last reply, in place of the greeting or between commands, and close."""
+        """Write a last reply, instead of the greeting or between commands, and close."""
         self._out += reply.encode(advice=True)
         self.state = State.CLOSED
 
@@ -39,7 +39,7 @@
     @property
     def is_waiting(self) -> bool:
         """Whether an event waits for its answer; reading may pause meanwhile."""
-        return self.state is State.ASKED
+        return self.state is State.AWAITING_REPLY
 
     @property
     def backlog_bytes(self) -> int:
@@ -55,8 +55,8 @@
         self._out += reply.encode(advice=self.extended)
 
     def _reject_input(self, reply: Reply) -> InputRejected:
-        self._errors += 1
-        if self._errors > self.limits.max_errors:
+        self._error_count += 1
+        if self._error_count > self.limits.max_errors:
             reply = TOO_MANY_ERRORS
             self.state = State.CLOSED
         self._write_reply(reply)
--- a/honeybarrow/mail/server_commands.py
+++ b/honeybarrow/mail/server_commands.py
@@ -7,7 +7,7 @@
 
 from honeybarrow.mail import grammar
 from honeybarrow.mail.grammar import GrammarError, Reply
-from honeybarrow.mail.server_events import TOO_LARGE, Credentials, Recipient, Sender
+from honeybarrow.mail.server_events import MESSAGE_TOO_LARGE, Credentials, Recipient, Sender
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,24 +18,24 @@
     is_last: bool
 
 
-def read_sender(rest: str, extended: bool, max_message: int) -> Sender:
+def read_sender(rest: str, extended: bool, max_message_bytes: int) -> Sender:
     """MAIL (RFC 5321 4.1.1.2). Raises :class:`GrammarError`."""
-    path, more = grammar.read_path(rest, "FROM:", grammar.BAD_PATH)
+    path, more = grammar.read_path(rest, "FROM:", grammar.INVALID_SENDER_ADDRESS)
     parameters = grammar.read_mail_parameters(more)
     if more and not extended:
         raise GrammarError(Reply(555, "5.5.4", "parameters need EHLO"))
-    if parameters.size_bytes > max_message:
-        raise GrammarError(TOO_LARGE)
+    if parameters.size_bytes > max_message_bytes:
+        raise GrammarError(MESSAGE_TOO_LARGE)
     return Sender(path, parameters)
 
 
 def read_recipient(rest: str) -> Recipient:
     """RCPT (RFC 5321 4.1.1.3). Raises :class:`GrammarError`."""
-    path, more = grammar.read_path(rest, "TO:", grammar.BAD_RECIPIENT)
+    path, more = grammar.read_path(rest, "TO:", grammar.INVALID_RECIPIENT_ADDRESS)
     if more:
         raise GrammarError(Reply(555, "5.5.4", "parameter not implemented"))
     if not path.domain:
-        raise GrammarError(grammar.BAD_RECIPIENT)
+        raise GrammarError(grammar.INVALID_RECIPIENT_ADDRESS)
     return Recipient(path)
 
 
@@ -58,9 +58,9 @@
         return None
 
 
-def list_extensions(max_message: int, offers_tls: bool, offers_auth: bool) -> tuple[str, ...]:
+def list_extensions(max_message_bytes: int, offers_tls: bool, offers_auth: bool) -> tuple[str, ...]:
     """The lines of the reply to EHLO or LHLO, in the order in which they are written."""
-    extensions = ["PIPELINING", f"SIZE {max_message}", "8BITMIME", "ENHANCEDSTATUSCODES", "DELIVERBY"]
+    extensions = ["PIPELINING", f"SIZE {max_message_bytes}", "8BITMIME", "ENHANCEDSTATUSCODES", "DELIVERBY"]
     extensions += ["CHUNKING", "XADVICE", "XENVID"]
     if offers_tls:
         extensions.append("STARTTLS")
--- a/honeybarrow/mail/server_events.py
+++ b/honeybarrow/mail/server_events.py
@@ -11,46 +11,46 @@
 class State(enum.Enum):
     """Where a session stands."""
 
-    FRESH = "fresh"  # no HELO yet
+    BEFORE_HELLO = "fresh"  # no HELO yet
     READY = "ready"  # greeted, no transaction
     MAIL = "mail"  # a sender, no recipient yet
     RCPT = "rcpt"  # at least one recipient accepted
     DATA = "data"  # the message's content is on its way, as lines
-    CHUNKS = "chunks"  # some of it has come by BDAT, and more is to come
-    CHUNK = "chunk"  # the bytes of a BDAT are on their way
+    BETWEEN_CHUNKS = "chunks"  # some of it has come by BDAT, and more is to come
+    CHUNK_DATA = "chunk"  # the bytes of a BDAT are on their way
     AUTH = "auth"  # the client's response to AUTH is awaited
-    ASKED = "asked"  # an event waits for its reply; nothing is parsed meanwhile
+    AWAITING_REPLY = "asked"  # an event waits for its reply; nothing is parsed meanwhile
     CLOSED = "closed"
 
 
 # Which commands a state takes (RFC 5321 4.1.4). What isn't here is out of order: 503 5.5.1.
 # NOOP, RSET, QUIT, HELP and VRFY are taken wherever commands are read.
-ANYWHERE = frozenset({"NOOP", "RSET", "QUIT", "HELP", "VRFY"})
-ALLOWED: dict[State, frozenset[str]] = {
-    State.FRESH: ANYWHERE | {"HELO", "EHLO", "LHLO"},
-    State.READY: ANYWHERE | {"HELO", "EHLO", "LHLO", "MAIL", "STARTTLS", "AUTH"},
-    State.MAIL: ANYWHERE | {"HELO", "EHLO", "LHLO", "RCPT"},
-    State.RCPT: ANYWHERE | {"HELO", "EHLO", "LHLO", "RCPT", "DATA", "BDAT"},
-    State.CHUNKS: frozenset({"NOOP", "RSET", "QUIT", "BDAT"}),  # RFC 3030 2
+ALWAYS_ALLOWED_COMMANDS = frozenset({"NOOP", "RSET", "QUIT", "HELP", "VRFY"})
+ALLOWED_COMMANDS: dict[State, frozenset[str]] = {
+    State.BEFORE_HELLO: ALWAYS_ALLOWED_COMMANDS | {"HELO", "EHLO", "LHLO"},
+    State.READY: ALWAYS_ALLOWED_COMMANDS | {"HELO", "EHLO", "LHLO", "MAIL", "STARTTLS", "AUTH"},
+    State.MAIL: ALWAYS_ALLOWED_COMMANDS | {"HELO", "EHLO", "LHLO", "RCPT"},
+    State.RCPT: ALWAYS_ALLOWED_COMMANDS | {"HELO", "EHLO", "LHLO", "RCPT", "DATA", "BDAT"},
+    State.BETWEEN_CHUNKS: frozenset({"NOOP", "RSET", "QUIT", "BDAT"}),  # RFC 3030 2
 }
-VERBS = frozenset().union(*ALLOWED.values())
-LAST_IN_GROUP = frozenset(
+COMMAND_VERBS = frozenset().union(*ALLOWED_COMMANDS.values())
+LAST_IN_PIPELINE = frozenset(
     {"EHLO", "HELO", "LHLO", "DATA", "AUTH"}
 )  # the last command of a pipelined group (RFC 2920 3.1)
 
 OUT_OF_ORDER = Reply(503, "5.5.1", "command out of order")
-EARLY = Reply(503, "5.5.0", "sent before the reply it had to wait for")
+SENT_BEFORE_REPLY = Reply(503, "5.5.0", "sent before the reply it had to wait for")
 TOO_MANY_ERRORS = Reply(421, "4.7.0", "too many errors, closing")
-TOO_LARGE = Reply(552, "5.3.4", "message exceeds the size that is taken")
+MESSAGE_TOO_LARGE = Reply(552, "5.3.4", "message exceeds the size that is taken")
 TOO_MANY_RECIPIENTS = Reply(452, "4.5.3", "too many recipients")
 BAD_CONTENT = Reply(554, "5.6.0", "bare CR, LF or NUL in the message")
-NO_TLS = Reply(502, "5.5.1", "TLS is not offered here")
-IN_TLS = Reply(503, "5.5.1", "TLS is on already")
-NEED_TLS = Reply(538, "5.7.11", "AUTH needs TLS")
-NO_AUTH = Reply(502, "5.5.1", "AUTH is not offered here")
-BAD_MECHANISM = Reply(504, "5.5.4", "PLAIN is the only mechanism")
-BAD_CREDENTIALS = Reply(501, "5.5.2", "credentials can't be read")
-LONG_TEXT = Reply(554, "5.6.0", "a line of the message is too long")
+TLS_NOT_OFFERED = Reply(502, "5.5.1", "TLS is not offered here")
+TLS_ALREADY_ACTIVE = Reply(503, "5.5.1", "TLS is on already")
+TLS_REQUIRED = Reply(538, "5.7.11", "AUTH needs TLS")
+AUTH_NOT_OFFERED = Reply(502, "5.5.1", "AUTH is not offered here")
+UNSUPPORTED_MECHANISM = Reply(504, "5.5.4", "PLAIN is the only mechanism")
+MALFORMED_CREDENTIALS = Reply(501, "5.5.2", "credentials can't be read")
+TEXT_LINE_TOO_LONG = Reply(554, "5.6.0", "a line of the message is too long")
 FIXED_REPLIES = {
     "RSET": Reply(250, "2.0.0", "ok"),
     "NOOP": Reply(250, "2.0.0", "ok"),
--- a/honeybarrow/mail_front/connection_registry.py
+++ b/honeybarrow/mail_front/connection_registry.py
@@ -18,7 +18,7 @@
 from honeybarrow.ports import Clock, Logger
 
 SWEEP_INTERVAL_S = 1.0  # how often slow transactions are looked for
-TOO_SLOW = Reply(421, "4.4.2", "too slow, closing")
+TRANSACTION_TOO_SLOW = Reply(421, "4.4.2", "too slow, closing")
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,44 +79,44 @@
         self.new_id, self.format_date, self.log = new_id, format_date, log
         self.tls_context, self.check_password = tls_context, check_password
         self.connections: dict[int, ClientConnection] = {}
-        self.paused: dict[int, ClientConnection] = {}
-        self._count = 0
+        self.paused_connections: dict[int, ClientConnection] = {}
+        self._last_connection_id = 0
         self._sweep_timer: Any = None
 
     def next_connection_id(self) -> int:
         """A number that no other connection of this process has."""
-        self._count += 1
-        return self._count
+        self._last_connection_id += 1
+        return self._last_connection_id
 
     def add(self, connection: ClientConnection) -> None:
         """Register a connection that was admitted."""
         self.connections[connection.connection_id] = connection
         if self._sweep_timer is None:
-            self._sweep_timer = self.clock.callLater(SWEEP_INTERVAL_S, self._close_slow)
+            self._sweep_timer = self.clock.callLater(SWEEP_INTERVAL_S, self._close_slow_connections)
 
     def remove(self, connection: ClientConnection) -> None:
         """Release what an admitted connection held; it is closed."""
         self.connections.pop(connection.connection_id, None)
-        self.paused.pop(connection.connection_id, None)
+        self.paused_connections.pop(connection.connection_id, None)
         self.admission.close_session(self.now_us(), connection.connection_id)
         self.resume_paused()
 
     def resume_paused(self) -> None:
         """Read on from paused connections as far as the admission control allows."""
-        for connection_id, connection in list(self.paused.items()):
+        for connection_id, connection in list(self.paused_connections.items()):
             if self.admission.can_read(self.now_us(), connection_id):
-                del self.paused[connection_id]
+                del self.paused_connections[connection_id]
                 connection.resume_reading()
 
-    def _close_slow(self) -> None:
+    def _close_slow_connections(self) -> None:
         """Close connections whose transactions take too long; once a second while there are any."""
         self._sweep_timer = None
         for connection_id in self.admission.find_slow_sessions(self.now_us()):
             if connection_id in self.connections:
-                self.connections[connection_id].close_with_reply(TOO_SLOW)
+                self.connections[connection_id].close_with_reply(TRANSACTION_TOO_SLOW)
         self.resume_paused()
         if self.connections:
-            self._sweep_timer = self.clock.callLater(SWEEP_INTERVAL_S, self._close_slow)
+            self._sweep_timer = self.clock.callLater(SWEEP_INTERVAL_S, self._close_slow_connections)
 
     def start_drain(self) -> None:
         """Admit nothing new; connections close after the transaction they are in."""
@@ -124,11 +124,11 @@
         for connection in list(self.connections.values()):
             connection.close_when_idle()
 
-    def duplicate_key(self, client: str, message: mail.Message, recipient: mail.Path) -> str:
+    def build_duplicate_key(self, client: str, message: mail.Message, recipient: mail.Path) -> str:
         """What submissions of the same message have in common; empty if the client gave it no id."""
-        ident = message.parameters.envelope_id or mail.read_header(message.content, "Message-ID")
-        if not ident:
+        submission_id = message.parameters.envelope_id or mail.read_header(message.content, "Message-ID")
+        if not submission_id:
             return ""
         # Danger: another message under an id that was used before would get the first one's answer.
         body = hashlib.blake2b(mail.split_content(message.content)[1], digest_size=16).hexdigest()
-        return f"{client}\0{ident}\0{recipient}\0{body}"
+        return f"{client}\0{submission_id}\0{recipient}\0{body}"
--- a/honeybarrow/mail_front/message_preparation.py
+++ b/honeybarrow/mail_front/message_preparation.py
@@ -18,11 +18,11 @@
 
 
 def compute_times_left_us(
-    router: MessageRouter, message: Message, routed: Sequence[RoutedMessage | Reply], spent_us: int
+    router: MessageRouter, message: Message, routed: Sequence[RoutedMessage | Reply], elapsed_us: int
 ) -> list[int]:
     """The time left for each recipient with a route, in microseconds.
 
-    ``spent_us``: since the start of the transaction, from which BY counts (RFC 2852).
+    ``elapsed_us``: since the start of the transaction, from which BY counts (RFC 2852).
     """
     by = message.parameters.by_s
     by_us = by * 1_000_000 if by is not None and message.parameters.is_by_return else None
@@ -30,7 +30,7 @@
     return compute_batch_times_left_us(
         [
             compute_time_left_us(
-                deadlines_us[entry.route.class_name], by_us, entry.properties.time_left_us, spent_us
+                deadlines_us[entry.route.class_name], by_us, entry.properties.time_left_us, elapsed_us
             )
             for entry in routed
             if not isinstance(entry, Reply)
--- a/honeybarrow/mail_front/protocol.py
+++ b/honeybarrow/mail_front/protocol.py
@@ -18,16 +18,16 @@
 from honeybarrow.mail_front.connection_registry import ConnectionRegistry
 from honeybarrow.mail_front.message_preparation import compute_times_left_us, route_message
 from honeybarrow.mail_front.replies import (
+    ADDRESS_NOT_ALLOWED,
+    AUTH_FAILED,
+    AUTH_REQUIRED,
     AUTHENTICATED,
-    BAD_CREDENTIALS,
     IDLE_TIMEOUT,
-    NEED_AUTH,
-    NEED_TLS,
     NO_TIME_LEFT,
-    NOT_ALLOWED,
-    OK_RECIPIENT,
-    OK_SENDER,
-    ONE_RECIPIENT,
+    RECIPIENT_OK,
+    SENDER_OK,
+    SINGLE_RECIPIENT_ONLY,
+    TLS_REQUIRED,
     TOO_MANY_HOPS,
     ReplyBatch,
     reply_for_rejection,
@@ -69,15 +69,17 @@
         registry = self.registry
         if not registry.identity.can_connect(self.peer_address):
             registry.log.warning("connection_rejected", peer=self.peer_address, reason="address not allowed")
-            self.session.refuse(NOT_ALLOWED)
+            self.session.refuse(ADDRESS_NOT_ALLOWED)
         else:
-            verdict = registry.admission.open_session(registry.now_us(), self.connection_id, self.client_name)
-            if isinstance(verdict, Admit):
+            decision = registry.admission.open_session(
+                registry.now_us(), self.connection_id, self.client_name
+            )
+            if isinstance(decision, Admit):
                 self.is_admitted = True
                 registry.add(self)
                 self.session.greet()
             else:
-                self.session.refuse(reply_for_rejection(verdict))
+                self.session.refuse(reply_for_rejection(decision))
         self._process_events()
 
     def dataReceived(self, data: bytes) -> None:
@@ -154,9 +156,9 @@
         is_buffer_full = self.session.is_waiting and self.session.backlog_bytes > MAX_READ_AHEAD_BYTES
         now = self.registry.now_us()
         if self.session.is_in_content and not self.registry.admission.can_read(now, self.connection_id):
-            self.registry.paused[self.connection_id] = self
+            self.registry.paused_connections[self.connection_id] = self
             self._set_reading(False)
-        elif self.connection_id not in self.registry.paused:
+        elif self.connection_id not in self.registry.paused_connections:
             self._set_reading(not is_buffer_full)
 
     def _set_reading(self, on: bool) -> None:
@@ -191,18 +193,18 @@
         """The reply to MAIL: whether a transaction may start."""
         required = self.factory.require
         if required != "none" and not self.session.tls and not self.factory.lmtp:
-            return NEED_TLS
+            return TLS_REQUIRED
         if required == "auth" and not self.is_authenticated:
-            return NEED_AUTH
+            return AUTH_REQUIRED
         self.routes, self.transaction_start_us = [], self.registry.now_us()
-        verdict = self.registry.admission.begin_transaction(self.transaction_start_us, self.connection_id)
-        return OK_SENDER if isinstance(verdict, Admit) else reply_for_rejection(verdict)
+        decision = self.registry.admission.begin_transaction(self.transaction_start_us, self.connection_id)
+        return SENDER_OK if isinstance(decision, Admit) else reply_for_rejection(decision)
 
     def _reply_to_rcpt(self, path: mail.Path) -> Reply:
         """The reply to RCPT; an accepted recipient has its route stored and capacity reserved."""
         registry = self.registry
         if self.routes and not self.factory.lmtp:
-            return ONE_RECIPIENT
+            return SINGLE_RECIPIENT_ONLY
         try:
             route = registry.router.route(path)
         except UnroutableError as error:
@@ -210,11 +212,11 @@
                 "recipient_rejected", peer=self.peer_address, recipient=str(path), reason=str(error)
             )
             return error.reply
-        verdict = registry.admission.reserve_recipient(registry.now_us(), self.connection_id)
-        if not isinstance(verdict, Admit):
-            return reply_for_rejection(verdict)
+        decision = registry.admission.reserve_recipient(registry.now_us(), self.connection_id)
+        if not isinstance(decision, Admit):
+            return reply_for_rejection(decision)
         self.routes.append(route)
-        return OK_RECIPIENT
+        return RECIPIENT_OK
 
     def _on_password_checked(self, result: Any, name: str) -> None:
         """``result``: whether the password is right, or the failure of the check."""
@@ -227,7 +229,7 @@
             self._set_client(self.registry.identity.identify_by_account(name))
         else:
             self.registry.log.warning("authentication_failed", peer=self.peer_address)
-        self.session.answer(AUTHENTICATED if is_valid else BAD_CREDENTIALS)
+        self.session.answer(AUTHENTICATED if is_valid else AUTH_FAILED)
         self._process_events()
 
     def _submit_message(self, event: mail.Message) -> None:
@@ -236,12 +238,12 @@
             self.session.answer(*[TOO_MANY_HOPS] * len(self.routes))
             self._end_transaction()
             return
-        spent_us = self.registry.now_us() - self.transaction_start_us
+        elapsed_us = self.registry.now_us() - self.transaction_start_us
         message_id = self.registry.new_id()
         content = self._add_trace(event, message_id)
         router = self.registry.router
         routed = [route_message(router, route, event) for route in self.routes]
-        times_left_us = iter(compute_times_left_us(router, event, routed, spent_us))
+        times_left_us = iter(compute_times_left_us(router, event, routed, elapsed_us))
         batch = ReplyBatch(len(routed))
         for index, entry in enumerate(routed):
             if isinstance(entry, Reply):
@@ -293,19 +295,19 @@
             recipient=str(recipient),
             left_us=submission.time_left_us,
         )
-        duplicate_key = registry.duplicate_key(self.client_name, event, recipient)
+        duplicate_key = registry.build_duplicate_key(self.client_name, event, recipient)
         result = registry.submissions.submit(self.connection_id, duplicate_key, submission)
         self.pending_results.append(result)
         result.addCallback(self._on_final_result, index, batch, result)
         result.addErrback(ignore_cancelled)
 
     def _on_final_result(
-        self, answer: DeliveryResult, index: int, batch: ReplyBatch, result: Deferred[DeliveryResult]
+        self, final_result: DeliveryResult, index: int, batch: ReplyBatch, result: Deferred[DeliveryResult]
     ) -> None:
         """A recipient has its final result."""
         if result in self.pending_results:
             self.pending_results.remove(result)
-        batch.replies[index] = reply_for_result(answer)
+        batch.replies[index] = reply_for_result(final_result)
         if batch.is_submitted:
             self._send_ready_replies(batch)
             self._process_events()
--- a/honeybarrow/mail_front/replies.py
+++ b/honeybarrow/mail_front/replies.py
@@ -6,22 +6,22 @@
 from honeybarrow.delivery import Delivered, DeliveryResult, Failed, Refused
 from honeybarrow.mail import Reply
 
-NOT_ALLOWED = Reply(554, "5.7.1", "not from this address")
+ADDRESS_NOT_ALLOWED = Reply(554, "5.7.1", "not from this address")
 IDLE_TIMEOUT = Reply(421, "4.4.2", "time-out")
-ONE_RECIPIENT = Reply(452, "4.5.3", "one recipient for each transaction here; LMTP takes several")
+SINGLE_RECIPIENT_ONLY = Reply(452, "4.5.3", "one recipient for each transaction here; LMTP takes several")
 TOO_MANY_HOPS = Reply(554, "5.4.6", "too many hops")
-OK_SENDER = Reply(250, "2.1.0", "ok")
-OK_RECIPIENT = Reply(250, "2.1.5", "ok")
+SENDER_OK = Reply(250, "2.1.0", "ok")
+RECIPIENT_OK = Reply(250, "2.1.5", "ok")
 NO_TIME_LEFT = Reply(451, "4.4.7", "no time left")
-NEED_TLS = Reply(530, "5.7.0", "STARTTLS first")
-NEED_AUTH = Reply(530, "5.7.0", "authentication required")
+TLS_REQUIRED = Reply(530, "5.7.0", "STARTTLS first")
+AUTH_REQUIRED = Reply(530, "5.7.0", "authentication required")
 AUTHENTICATED = Reply(235, "2.7.0", "authenticated")
-BAD_CREDENTIALS = Reply(535, "5.7.8", "wrong name or password")
+AUTH_FAILED = Reply(535, "5.7.8", "wrong name or password")
 
 
-def reply_for_result(answer: DeliveryResult) -> Reply:
+def reply_for_result(result: DeliveryResult) -> Reply:
     """The final result as a reply (``docs/mail.md``): 2xx delivered, 4xx refused, 5xx failed."""
-    match answer:
+    match result:
         case Delivered():
             return Reply(250, "2.0.0", "delivered")
         case Refused(wait_us, why):
@@ -34,12 +34,12 @@
             return Reply(550, reply.enhanced, f"the partner refuses: {reply.code} {reply.text}")
 
 
-def reply_for_rejection(verdict: Defer | CloseSession) -> Reply:
+def reply_for_rejection(decision: Defer | CloseSession) -> Reply:
     """The reply to a client that is not admitted now, with the time to stay away."""
-    wait = -(-verdict.retry_after_us // 1000)
-    if isinstance(verdict, CloseSession):
-        return Reply(421, "4.3.2", f"{verdict.reason}, come back", wait_ms=wait)
-    return Reply(452, "4.3.1", f"{verdict.reason}, come back", wait_ms=wait)
+    wait = -(-decision.retry_after_us // 1000)
+    if isinstance(decision, CloseSession):
+        return Reply(421, "4.3.2", f"{decision.reason}, come back", wait_ms=wait)
+    return Reply(452, "4.3.1", f"{decision.reason}, come back", wait_ms=wait)
 
 
 class ReplyBatch:
--- a/honeybarrow/mail_front/routing.py
+++ b/honeybarrow/mail_front/routing.py
@@ -14,7 +14,9 @@
 from honeybarrow.mail import Path, Reply
 
 UNKNOWN_PARTNER = Reply(550, "5.1.2", "no such partner")
-NO_LIST_YET = Reply(451, "4.3.2", "the list of partners is not here yet, come back", wait_ms=1000)
+PARTNER_LIST_UNAVAILABLE = Reply(
+    451, "4.3.2", "the list of partners is not here yet, come back", wait_ms=1000
+)
 UNKNOWN_CLASS = Reply(550, "5.1.1", "no such class of message")
 ORDER_KEY_MISSING = Reply(554, "5.6.0", "the order key is missing")
 TENANT_MISSING = Reply(554, "5.6.0", "the tenant is missing")
@@ -75,7 +77,7 @@
     """Applies the routing rules.
 
     ``deadlines_us``: by the names of the message classes. ``find_partner`` gives a partner's number by its
-    name, ``has_list`` whether any list of partners has come.
+    name, ``has_partner_list`` whether any list of partners has come.
     """
 
     def __init__(
@@ -84,11 +86,11 @@
         deadlines_us: Mapping[str, int],
         ordered_classes: frozenset[str],
         find_partner: Callable[[str], int | None],
-        has_list: Callable[[], bool],
+        has_partner_list: Callable[[], bool],
     ) -> None:
         self.rules, self.deadlines_us, self.ordered_classes = rules, deadlines_us, ordered_classes
         self.find_partner = find_partner
-        self.has_list = has_list
+        self.has_partner_list = has_partner_list
 
     def route(self, recipient: Path) -> Route:
         """The class and destination of a recipient. Raises :class:`UnroutableError`."""
@@ -97,7 +99,7 @@
         )
         if number is None:
             # Danger: a 550 before the first list would have clients give up what can be delivered.
-            raise UnroutableError(UNKNOWN_PARTNER if self.has_list() else NO_LIST_YET)
+            raise UnroutableError(UNKNOWN_PARTNER if self.has_partner_list() else PARTNER_LIST_UNAVAILABLE)
         name = (read_source(self.rules.message_class_source, recipient, recipient, b"") or "").lower()
         if name not in self.deadlines_us:
             raise UnroutableError(UNKNOWN_CLASS)
--- a/honeybarrow/mail_front/submission.py
+++ b/honeybarrow/mail_front/submission.py
@@ -70,8 +70,8 @@
     ) -> None:
         self.forwarder, self.admission, self.duplicates = forwarder, admission, duplicates
         self.classes, self.clock, self.now_us, self.log = classes, clock, now_us, log
-        self._open: dict[str, _OpenMessage] = {}
-        self._deferred: dict[str, list[Callable[[], None]]] = {}
+        self._open_messages: dict[str, _OpenMessage] = {}
+        self._deferred_duplicates: dict[str, list[Callable[[], None]]] = {}
         forwarder.on_withdrawn = self._on_withdrawn
         forwarder.on_last_attempt_finished = self._on_last_attempt_finished
 
@@ -98,16 +98,18 @@
             case AcceptAsNew(left_us):
                 left = waiter.deadline_us - now
                 left = left if left_us is None else min(left, left_us)
-                self._admit(connection_id, duplicate_key, replace(submission, time_left_us=left), waiter)
+                self._admit_new_message(
+                    connection_id, duplicate_key, replace(submission, time_left_us=left), waiter
+                )
             case JoinMessage(message):
                 self.log.info("duplicate_joined", message=submission.message, first=message)
                 waiter.message = message
-                self._open[message].waiters.append(waiter)
+                self._open_messages[message].waiters.append(waiter)
                 self._start_wait_timer(waiter)
             case AwaitAttempt(message):
                 self.log.info("duplicate_deferred", message=submission.message, first=message)
                 self._start_wait_timer(waiter)
-                self._deferred.setdefault(message, []).append(
+                self._deferred_duplicates.setdefault(message, []).append(
                     lambda: (
                         None
                         if waiter.result.called
@@ -118,22 +120,22 @@
                 self.log.info("duplicate_answered", message=submission.message, delivered=delivered)
                 waiter.result.callback(Delivered() if delivered else Failed("handed in before, in doubt"))
 
-    def _admit(
+    def _admit_new_message(
         self, connection_id: int, duplicate_key: str, submission: Submission, waiter: _ResultWaiter
     ) -> None:
         """Submit a message to the core, if the admission control has room for it."""
         now, message = self.now_us(), submission.message
-        verdict = self.admission.admit_message(now, connection_id, message, submission.tenant)
-        if not isinstance(verdict, Admit):
+        decision = self.admission.admit_message(now, connection_id, message, submission.tenant)
+        if not isinstance(decision, Admit):
             self.forwarder.counters.rejected += 1
-            self.forwarder.context.observer.message_rejected(verdict.reason)
+            self.forwarder.context.observer.message_rejected(decision.reason)
             self.log.info(
                 "message_rejected",
                 message=message,
-                reason=verdict.reason,
-                retry_after_us=verdict.retry_after_us,
+                reason=decision.reason,
+                retry_after_us=decision.retry_after_us,
             )
-            waiter.result.callback(Refused(verdict.retry_after_us, verdict.reason))
+            waiter.result.callback(Refused(decision.retry_after_us, decision.reason))
             return
         if duplicate_key:
             message_class = self.classes[submission.class_name]
@@ -141,7 +143,9 @@
                 now, duplicate_key, message, message_class.idempotency, message_class.key_window_us
             )
         waiter.message = message
-        open_message = self._open[message] = _OpenMessage(self.forwarder.submit(submission), [waiter])
+        open_message = self._open_messages[message] = _OpenMessage(
+            self.forwarder.submit(submission), [waiter]
+        )
         open_message.result.addCallback(self._on_final_result, message)
         open_message.result.addErrback(ignore_cancelled)
 
@@ -150,10 +154,10 @@
         delay_s = max(0, waiter.deadline_us - self.now_us()) / 1e6
         timer = self.clock.callLater(delay_s, self._on_wait_timeout, waiter)
 
-        def cancel_timer(answer: DeliveryResult) -> DeliveryResult:
+        def cancel_timer(result: DeliveryResult) -> DeliveryResult:
             if timer.active():
                 timer.cancel()
-            return answer
+            return result
 
         waiter.result.addBoth(cancel_timer)
 
@@ -163,11 +167,11 @@
             self._remove_waiter(waiter)
             waiter.result.callback(Failed("its first hand-in has no answer yet"))
 
-    def _on_final_result(self, answer: DeliveryResult, message: str) -> None:
+    def _on_final_result(self, result: DeliveryResult, message: str) -> None:
         """The core has completed a message: release its capacity and complete all who wait."""
         now = self.now_us()
         self.admission.release_message(now, message)
-        match answer:
+        match result:
             case Delivered():
                 self.duplicates.record_event(now, message, MessageEvent.DELIVERED)
             case Refused():
@@ -176,9 +180,9 @@
                 self.duplicates.record_event(now, message, MessageEvent.FAILED, within_us)
             case Failed():
                 self.duplicates.record_event(now, message, MessageEvent.REJECTED)
-        for waiter in self._open.pop(message).waiters:
+        for waiter in self._open_messages.pop(message).waiters:
             if not waiter.result.called:
-                waiter.result.callback(answer)
+                waiter.result.callback(result)
 
     def _on_client_left(self, waiter: _ResultWaiter) -> None:
         """A client left before its result; with the last client that waits the message is withdrawn."""
@@ -187,7 +191,7 @@
             open_message.result.cancel()
 
     def _remove_waiter(self, waiter: _ResultWaiter) -> _OpenMessage | None:
-        open_message = self._open.get(waiter.message)
+        open_message = self._open_messages.get(waiter.message)
         if open_message is None or waiter not in open_message.waiters:
             return None
         open_message.waiters.remove(waiter)
@@ -196,7 +200,7 @@
     def _on_withdrawn(self, message: str, attempts_in_flight: int, is_ambiguous: bool) -> None:
         """The core has withdrawn a message; ``attempts_in_flight`` of its attempts go on."""
         now = self.now_us()
-        if self._open.pop(message, None) is None:
+        if self._open_messages.pop(message, None) is None:
             return
         self.admission.release_message(now, message)
         event = MessageEvent.WITHDRAWN
@@ -214,5 +218,5 @@
         else:
             event = MessageEvent.ATTEMPT_AMBIGUOUS if is_ambiguous else MessageEvent.ATTEMPT_NOT_RUN
             self.duplicates.record_event(now, message, event)
-        for check_again in self._deferred.pop(message, []):
+        for check_again in self._deferred_duplicates.pop(message, []):
             check_again()
--- a/tests/test_admission_control.py
+++ b/tests/test_admission_control.py
@@ -16,7 +16,7 @@
     CloseSession,
     Defer,
 )
-from honeybarrow.admission.fair_share import SECOND, FairShare
+from honeybarrow.admission.fair_share import SECOND_US, FairShare
 
 
 def make(weights: dict[str, float] | None = None, **limits: int) -> AdmissionController:
@@ -52,15 +52,15 @@
 def test_weights_move_the_shares() -> None:
     shares = FairShare(100, {"settle": 3.0})
     assert shares.compute_share(0, "flood") == 100
-    assert shares.compute_share(0, "settle") == 75 and shares.compute_share(SECOND, "flood") == 25
-    assert shares.compute_share(20 * SECOND, "settle") == 100  # the other one asks no more
+    assert shares.compute_share(0, "settle") == 75 and shares.compute_share(SECOND_US, "flood") == 25
+    assert shares.compute_share(20 * SECOND_US, "settle") == 100  # the other one asks no more
 
 
 def test_names_that_clients_make_up_do_not_fill_the_table() -> None:
     shares = FairShare(100)
     for number in range(3 * fair_share.MAX_TRACKED_USERS):
         shares.can_acquire(number, f"made up {number}")
-    assert len(shares._last_request_us) <= fair_share.MAX_TRACKED_USERS + 1
+    assert len(shares._last_request_us_by_user) <= fair_share.MAX_TRACKED_USERS + 1
 
 
 def test_a_client_that_floods_does_not_starve_settlement() -> None:
@@ -71,7 +71,7 @@
         assert isinstance(controller.open_session(0, number, client), Admit)
     running: list[tuple[int, str]] = []
     counts = {"flood": [0, 0], "settle": [0, 0]}
-    for now in range(0, 30 * SECOND, 500):
+    for now in range(0, 30 * SECOND_US, 500):
         for ends, message in [row for row in running[:5] if row[0] <= now]:
             running.remove((ends, message))
             controller.release_message(now, message)
@@ -82,7 +82,7 @@
             if isinstance(controller.reserve_recipient(now, session), Admit):
                 message = f"{client}{now}"
                 assert isinstance(controller.admit_message(now, session, message, ""), Admit)
-                running.append((now + SECOND, message))
+                running.append((now + SECOND_US, message))
                 counts[client][1] += 1
             controller.end_transaction(now, session)
     asked, admitted = counts["settle"]
@@ -101,7 +101,7 @@
         assert isinstance(verdict, Defer) and verdict.reason == "no room"
         waits.append(verdict.retry_after_us)
     assert waits[0] >= retry_after.MIN_RETRY_AFTER_US and len(set(waits)) > 50
-    assert sum(waits[:20]) < sum(waits[-20:]) and max(waits) <= 3 * SECOND
+    assert sum(waits[:20]) < sum(waits[-20:]) and max(waits) <= 3 * SECOND_US
 
 
 def test_a_reservation_expires_and_the_end_of_data_asks_anew() -> None:
@@ -156,10 +156,10 @@
     controller.begin_transaction(0, 1)
     controller.begin_transaction(0, 2)
     for second in range(1, 41):
-        controller.record_bytes_read(second * SECOND, 1, 1)  # one byte a second
-        controller.record_bytes_read(second * SECOND, 2, 200 if second > 2 else 4000)
+        controller.record_bytes_read(second * SECOND_US, 1, 1)  # one byte a second
+        controller.record_bytes_read(second * SECOND_US, 2, 200 if second > 2 else 4000)
     assert controller.find_slow_sessions(admission_control.TRANSACTION_GRACE_US - 1) == []
-    assert controller.find_slow_sessions(20 * SECOND) == [1]
+    assert controller.find_slow_sessions(20 * SECOND_US) == [1]
 
 
 def test_stopping_closes_what_comes_and_what_begins() -> None:
--- a/tests/test_duplicate_detection.py
+++ b/tests/test_duplicate_detection.py
@@ -16,10 +16,10 @@
     MessageState,
     RepeatResult,
 )
-from honeybarrow.admission.fair_share import SECOND
+from honeybarrow.admission.fair_share import SECOND_US
 from honeybarrow.settings import Idempotency
 
-WINDOW = 5 * SECOND
+WINDOW = 5 * SECOND_US
 ROWS: list[tuple[tuple[MessageEvent, ...], Any, Any, Any]] = [
     ((), JoinMessage("m"), JoinMessage("m"), JoinMessage("m")),
     ((MessageEvent.WITHDRAWN,), AcceptAsNew(), AcceptAsNew(), AcceptAsNew()),
@@ -39,14 +39,19 @@
     (
         (MessageEvent.WITHDRAWN_IN_FLIGHT, MessageEvent.ATTEMPT_AMBIGUOUS),
         AcceptAsNew(),
-        AcceptAsNew(WINDOW - SECOND),
+        AcceptAsNew(WINDOW - SECOND_US),
+        RepeatResult(False),
+    ),
+    (
+        (MessageEvent.WITHDRAWN_AMBIGUOUS,),
+        AcceptAsNew(),
+        AcceptAsNew(WINDOW - SECOND_US),
         RepeatResult(False),
     ),
-    ((MessageEvent.WITHDRAWN_AMBIGUOUS,), AcceptAsNew(), AcceptAsNew(WINDOW - SECOND), RepeatResult(False)),
     ((MessageEvent.DELIVERED,), RepeatResult(True), RepeatResult(True), RepeatResult(True)),
     ((MessageEvent.REFUSED,), AcceptAsNew(), AcceptAsNew(), AcceptAsNew()),
     ((MessageEvent.REJECTED,), AcceptAsNew(), AcceptAsNew(), AcceptAsNew()),
-    ((MessageEvent.FAILED,), AcceptAsNew(), AcceptAsNew(WINDOW - SECOND), RepeatResult(False)),
+    ((MessageEvent.FAILED,), AcceptAsNew(), AcceptAsNew(WINDOW - SECOND_US), RepeatResult(False)),
     (
         (MessageEvent.DELIVERED, MessageEvent.FAILED),
         RepeatResult(True),
@@ -66,43 +71,43 @@
         wanted,
         strict=True,
     ):
-        memory = DuplicateDetector()
-        assert memory.check_submission(0, "k") == AcceptAsNew()
-        memory.record_accepted(0, "k", "m", effect, WINDOW)
+        detector = DuplicateDetector()
+        assert detector.check_submission(0, "k") == AcceptAsNew()
+        detector.record_accepted(0, "k", "m", effect, WINDOW)
         for event in events:
-            memory.record_event(SECOND // 2, "m", event)
-        assert memory.check_submission(SECOND, "k") == decision, effect
-        assert memory.check_submission(SECOND, "another") == AcceptAsNew()
+            detector.record_event(SECOND_US // 2, "m", event)
+        assert detector.check_submission(SECOND_US, "k") == decision, effect
+        assert detector.check_submission(SECOND_US, "another") == AcceptAsNew()
 
 
 def test_a_message_with_a_key_is_another_one_once_its_window_is_over() -> None:
-    memory = DuplicateDetector()
-    memory.record_accepted(0, "k", "m", Idempotency.IDEMPOTENT_WITH_KEY, WINDOW)
-    memory.record_event(SECOND, "m", MessageEvent.FAILED, retry_within_us=2 * SECOND)
-    assert memory.check_submission(2 * SECOND, "k") == AcceptAsNew(SECOND)
-    assert memory.check_submission(3 * SECOND, "k") == AcceptAsNew()
-    memory.record_accepted(3 * SECOND, "k", "m2", Idempotency.IDEMPOTENT_WITH_KEY, WINDOW)
-    assert memory.check_submission(3 * SECOND, "k") == JoinMessage("m2")
+    detector = DuplicateDetector()
+    detector.record_accepted(0, "k", "m", Idempotency.IDEMPOTENT_WITH_KEY, WINDOW)
+    detector.record_event(SECOND_US, "m", MessageEvent.FAILED, retry_within_us=2 * SECOND_US)
+    assert detector.check_submission(2 * SECOND_US, "k") == AcceptAsNew(SECOND_US)
+    assert detector.check_submission(3 * SECOND_US, "k") == AcceptAsNew()
+    detector.record_accepted(3 * SECOND_US, "k", "m2", Idempotency.IDEMPOTENT_WITH_KEY, WINDOW)
+    assert detector.check_submission(3 * SECOND_US, "k") == JoinMessage("m2")
     # a late event of the first one is none of the second one's
-    memory.record_event(4 * SECOND, "m", MessageEvent.DELIVERED)
-    assert memory.check_submission(4 * SECOND, "k") == JoinMessage("m2")
+    detector.record_event(4 * SECOND_US, "m", MessageEvent.DELIVERED)
+    assert detector.check_submission(4 * SECOND_US, "k") == JoinMessage("m2")
 
 
 def test_what_is_remembered_is_bounded_in_number_and_age() -> None:
-    memory = DuplicateDetector(max_entries=100, max_age_us=10 * SECOND)
+    detector = DuplicateDetector(max_entries=100, max_age_us=10 * SECOND_US)
     for number in range(1000):
         key = f"k{number}"
-        memory.check_submission(number, key)
-        memory.record_accepted(number, key, f"m{number}", Idempotency.NON_IDEMPOTENT, 0)
+        detector.check_submission(number, key)
+        detector.record_accepted(number, key, f"m{number}", Idempotency.NON_IDEMPOTENT, 0)
         if number % 50:
-            memory.record_event(number, f"m{number}", MessageEvent.FAILED)
-    assert len(memory) <= 102
-    assert memory.check_submission(1000, "k950") == JoinMessage("m950")  # what is open is not forgotten
-    assert memory.check_submission(1000, "k999") == RepeatResult(False)
+            detector.record_event(number, f"m{number}", MessageEvent.FAILED)
+    assert len(detector) <= 102
+    assert detector.check_submission(1000, "k950") == JoinMessage("m950")  # what is open is not forgotten
+    assert detector.check_submission(1000, "k999") == RepeatResult(False)
     for _ in range(40):
-        assert memory.check_submission(12 * SECOND, "k999") in (RepeatResult(False), AcceptAsNew())
-    assert memory.check_submission(12 * SECOND, "k999") == AcceptAsNew()
-    assert len(memory) == len(memory._key_by_message) <= 21
+        assert detector.check_submission(12 * SECOND_US, "k999") in (RepeatResult(False), AcceptAsNew())
+    assert detector.check_submission(12 * SECOND_US, "k999") == AcceptAsNew()
+    assert len(detector) == len(detector._key_by_message) <= 21
 
 
 def test_every_event_of_the_table_is_used_and_no_other_changes_a_state() -> None:
@@ -110,8 +115,8 @@
     assert events == set(MessageEvent)
     for phase in MessageState:
         for event in events:
-            memory = DuplicateDetector()
-            memory.record_accepted(0, "k", "m", Idempotency.NON_IDEMPOTENT, 0)
-            memory._by_key["k"].state = phase
-            memory.record_event(1, "m", event)
-            assert memory._by_key["k"].state is TRANSITIONS.get((phase, event), phase)
+            detector = DuplicateDetector()
+            detector.record_accepted(0, "k", "m", Idempotency.NON_IDEMPOTENT, 0)
+            detector._by_key["k"].state = phase
+            detector.record_event(1, "m", event)
+            assert detector._by_key["k"].state is TRANSITIONS.get((phase, event), phase)
--- a/tests/test_mail.py
+++ b/tests/test_mail.py
@@ -12,7 +12,7 @@
 
 from honeybarrow import mail
 from honeybarrow.mail import Path, Phase, Reply, ServerSession, State
-from honeybarrow.mail.grammar import SYNTAX, InvalidReplyError, read_path
+from honeybarrow.mail.grammar import SYNTAX_ERROR, InvalidReplyError, read_path
 
 OK = Reply(250, "2.0.0", "ok")
 LIMITS = mail.SessionLimits(
@@ -319,7 +319,7 @@
     ],
 )
 def test_paths(text: str, path: Path) -> None:
-    assert read_path(text, "TO:", SYNTAX)[0] == path
+    assert read_path(text, "TO:", SYNTAX_ERROR)[0] == path
 
 
 def test_reply_text_of_a_partner_can_not_become_protocol_lines() -> None:
@@ -387,7 +387,7 @@
     assert isinstance(session.next_event(), mail.StartTls)
     assert session.take_output().startswith(b"220")
     session.on_tls_started()
-    assert session.next_event() is None and session.state is State.FRESH
+    assert session.next_event() is None and session.state is State.BEFORE_HELLO
     session.receive(b"MAIL FROM:<a@b.example>\r\n")
     session.next_event()
     assert session.take_output().startswith(b"503")
@@ -401,7 +401,7 @@
         assert session.take_output() == b"334 \r\n"
         session.receive(line + b"\r\n")
         assert isinstance(session.next_event(), mail.InputRejected)
-        session._errors = 0
+        session._error_count = 0
         assert session.take_output().startswith(b"501")
     session.receive(b"AUTH PLAIN " + plain(b"", b"u", b"secret") + b"\r\n")
     event = session.next_event()
