--- a/honeybarrow/admission/__init__.py
+++ b/honeybarrow/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Admission of clients' messages: who the clients are, capacity and fair shares, duplicates."""
+"""Admission of client messages: client identity, capacity, fair sharing and duplicate detection."""
--- a/honeybarrow/admission/admission_control.py
+++ b/honeybarrow/admission/admission_control.py
@@ -1,7 +1,7 @@
 """Admission control of all mail fronts: which sessions, recipients and messages are admitted or deferred.
 
-No I/O and no clock: times are arguments, in microseconds. One :class:`FairShare` each divides sessions,
-places for messages, bytes of messages being read, and places among tenants.
+Performs no I/O and reads no clock: times are passed as arguments, in microseconds. Four :class:`FairShare`
+instances divide capacity: sessions, messages and buffered bytes among clients, and messages among tenants.
 """
 
 from __future__ import annotations
@@ -13,15 +13,16 @@
 from honeybarrow.admission.fair_share import RESERVE_FRACTION, SECOND_US, FairShare
 from honeybarrow.admission.retry_after import MIN_RETRY_AFTER_US, compute_retry_after_us
 
-RESERVATION_TIMEOUT_US = 10 * SECOND_US  # a place reserved at RCPT expires then; the end of data asks anew
-COMPLETION_WINDOW_US = 5 * SECOND_US  # over how long the rate of completed messages is measured
-TRANSACTION_GRACE_US = 15 * SECOND_US  # a transaction may take so long, and
-MIN_TRANSFER_BYTES_PER_S = 512  # a second more for each so many bytes read: a trickle holds nothing for long
+RESERVATION_TIMEOUT_US = 10 * SECOND_US  # lifetime of a reservation made at RCPT
+COMPLETION_WINDOW_US = 5 * SECOND_US  # window over which the rate of completed messages is measured
+# A transaction may last the grace period plus the time that the bytes read so far take at the minimum rate.
+TRANSACTION_GRACE_US = 15 * SECOND_US
+MIN_TRANSFER_BYTES_PER_S = 512
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionConfig:
-    """Bounds: sessions, messages held, bytes of messages being read; the longest retry wait."""
+    """Limits on open sessions, admitted messages, buffered message bytes and the retry delay."""
 
     max_sessions: int = 500
     max_messages: int = 250
@@ -31,12 +32,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Admit:
-    """Admitted."""
+    """The session, recipient or message is admitted."""
 
 
 @dataclass(frozen=True, slots=True)
 class Defer:
-    """Not now, and harmless to retry after ``retry_after_us``."""
+    """The request is refused for now; the client may safely retry after ``retry_after_us``."""
 
     retry_after_us: int
     reason: str
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseSession:
-    """Not in this session: reply 421 and close."""
+    """The session must be closed with reply 421."""
 
     retry_after_us: int
     reason: str
@@ -57,14 +58,17 @@
 @dataclass(slots=True)
 class _Session:
     client: str
-    reservations: list[int] = field(default_factory=list)  # when each place was reserved
+    reservations: list[int] = field(default_factory=list)  # time of each reservation
     buffered_bytes: int = 0
-    transaction_started_us: int = -1  # negative: none is open
-    transaction_bytes: int = 0  # read of it, whether kept or not
+    transaction_started_us: int = -1  # negative if no transaction is open
+    transaction_bytes: int = 0  # bytes read in this transaction, including discarded ones
 
 
 class AdmissionController:
-    """The decisions of all fronts of one forwarder together. Sessions are known by number, messages by id."""
+    """Decides on admission for all fronts of one forwarder.
+
+    Sessions are identified by number, messages by id. ``weights`` maps a client to its weight (default 1).
+    """
 
     def __init__(self, config: AdmissionConfig, weights: Mapping[str, float], rng: random.Random) -> None:
         self.config, self.rng = config, rng
@@ -73,16 +77,14 @@
         self.buffer_share = FairShare(config.max_buffered_bytes, weights)
         self.tenant_share = FairShare(config.max_messages)
         self.sessions: dict[int, _Session] = {}
-        self.admitted: dict[str, tuple[str, str]] = {}  # message to its client and tenant
+        self.admitted: dict[str, tuple[str, str]] = {}  # message id to client and tenant
         self.is_stopping = False
-        self.deferred_count = 0  # since a message was last admitted
-        self._completions = 0.0  # a decaying count, for the rate
+        self.deferred_count = 0  # deferrals since the last admitted message
+        self._completions = 0.0  # decaying count of completed messages
         self._completions_decayed_us = 0
 
-    # sessions
-
     def open_session(self, now: int, session: int, client: str) -> AdmissionDecision:
-        """A connection is made."""
+        """Admit a new connection, or reject it while stopping or when its client has no session left."""
         if self.is_stopping:
             return CloseSession(0, "shutting down")
         if not self.session_share.can_acquire(now, client):
@@ -92,11 +94,11 @@
         return ADMIT
 
     def identify_session(self, now: int, session: int, client: str) -> AdmissionDecision:
-        """The session proved who it is: from now on it counts as that client's."""
+        """Charge an authenticated session to ``client`` from now on."""
         state = self.sessions[session]
         if client == state.client:
             return ADMIT
-        # the session itself is in already; what it acquires counts for its new name
+        # The session is already admitted, so it moves to its new client without another check.
         self._release_transaction(state)
         self.session_share.release(state.client)
         self.session_share.acquire(client)
@@ -104,16 +106,14 @@
         return ADMIT
 
     def close_session(self, now: int, session: int) -> None:
-        """The connection is gone, and with it its reservations."""
+        """Release everything that a closed connection held."""
         state = self.sessions.pop(session, None)
         if state is not None:
             self._release_transaction(state)
             self.session_share.release(state.client)
 
-    # transactions
-
     def begin_transaction(self, now: int, session: int) -> AdmissionDecision:
-        """A transaction begins (MAIL)."""
+        """Begin a transaction (MAIL), ending any previous one."""
         state = self.sessions[session]
         self._release_transaction(state)
         if self.is_stopping:
@@ -122,10 +122,9 @@
         return ADMIT
 
     def reserve_recipient(self, now: int, session: int) -> AdmissionDecision:
-        """A recipient: a place for it is reserved, or it is told when to retry (452 at RCPT).
+        """Reserve capacity for a recipient, or defer it (452 at RCPT).
 
-        Refused here nothing of the message has been carried over the wire, and the recipients that were
-        accepted go on.
+        Deferring at RCPT saves the transfer of the content and leaves the accepted recipients unaffected.
         """
         state = self.sessions[session]
         self._expire_reservations(now, state)
@@ -136,21 +135,22 @@
         return ADMIT
 
     def record_bytes_read(self, now: int, session: int, byte_count: int) -> None:
-        """Bytes of a message were read into memory."""
+        """Record that bytes of a message were read into memory."""
         state = self.sessions[session]
         state.transaction_bytes += byte_count
         state.buffered_bytes += byte_count
-        self.buffer_share.compute_share(now, state.client)  # it counts among those that want some
+        self.buffer_share.compute_share(now, state.client)  # records the client's demand
         self.buffer_share.acquire(state.client, byte_count)
 
     def can_read(self, now: int, session: int) -> bool:
-        """Back-pressure: whether to read on from a session that is in the midst of a message."""
+        """Return whether to continue reading from a session that is transferring a message."""
         state, share = self.sessions[session], self.buffer_share
         if share.used < self.config.max_buffered_bytes * (1.0 - RESERVE_FRACTION):
             return True
         if share.used_by.get(state.client, 0) < share.compute_share(now, state.client):
             return share.used < self.config.max_buffered_bytes
-        # Danger: with all memory in half-read messages nobody would go on; so the oldest always may.
+        # The oldest transaction may always continue: otherwise partly read messages that fill the memory
+        # would block each other forever.
         oldest_us = min(
             (s.transaction_started_us for s in self.sessions.values() if s.buffered_bytes),
             default=state.transaction_started_us,
@@ -158,7 +158,10 @@
         return state.transaction_started_us <= oldest_us
 
     def admit_message(self, now: int, session: int, message: str, tenant: str) -> AdmissionDecision:
-        """The end of data, for each recipient in order: its reservation is used, or it is deferred."""
+        """Admit a message at the end of data, once for each recipient, or defer it.
+
+        Uses up a reservation of the session if one is left; otherwise acquires capacity anew.
+        """
         state = self.sessions[session]
         self._expire_reservations(now, state)
         if state.reservations:
@@ -177,13 +180,13 @@
         return ADMIT
 
     def end_transaction(self, now: int, session: int) -> None:
-        """The transaction has ended or was reset: unused reservations and its bytes are free again."""
+        """Release the unused reservations and the buffered bytes of a transaction that ended or was reset."""
         state = self.sessions.get(session)
         if state is not None:
             self._release_transaction(state)
 
     def release_message(self, now: int, message: str) -> None:
-        """A message that was admitted has its result, or was withdrawn."""
+        """Release the capacity of an admitted message that has its result or was withdrawn."""
         client, tenant = self.admitted.pop(message)
         self.message_share.release(client)
         if tenant:
@@ -192,17 +195,15 @@
         self._completions += 1.0
 
     def find_slow_sessions(self, now: int) -> list[int]:
-        """Sessions whose transaction takes longer than what has been read of it allows."""
-        found = []
+        """Return the sessions whose transaction has lasted longer than the bytes read so far allow."""
+        slow_sessions = []
         for session, state in self.sessions.items():
             allowed_us = (
                 TRANSACTION_GRACE_US + state.transaction_bytes * SECOND_US // MIN_TRANSFER_BYTES_PER_S
             )
             if state.transaction_started_us >= 0 and now - state.transaction_started_us > allowed_us:
-                found.append(session)
-        return found
-
-    # inner
+                slow_sessions.append(session)
+        return slow_sessions
 
     def _release_transaction(self, state: _Session) -> None:
         if state.reservations:
@@ -214,8 +215,10 @@
         state.transaction_started_us = -1
 
     def _expire_reservations(self, now: int, state: _Session) -> None:
-        # Danger: RCPT costs a client nothing; reservations that are never used would fill the capacity.
-        valid = [at for at in state.reservations if at > now - RESERVATION_TIMEOUT_US]
+        # RCPT costs a client nothing, so unused reservations would otherwise exhaust the capacity.
+        valid = [
+            reserved_us for reserved_us in state.reservations if reserved_us > now - RESERVATION_TIMEOUT_US
+        ]
         if len(valid) < len(state.reservations):
             self.message_share.release(state.client, len(state.reservations) - len(valid))
             state.reservations = valid
@@ -225,14 +228,15 @@
         return Defer(self._compute_retry_after_us(now), reason)
 
     def _decay_completions(self, now: int) -> None:
-        passed = max(0, now - self._completions_decayed_us)
-        self._completions *= max(0.0, 1.0 - passed / COMPLETION_WINDOW_US)
+        elapsed_us = max(0, now - self._completions_decayed_us)
+        self._completions *= max(0.0, 1.0 - elapsed_us / COMPLETION_WINDOW_US)
         self._completions_decayed_us = now
 
     def _compute_retry_after_us(self, now: int) -> int:
-        """When to retry: after as long as the messages need that go before, at their present rate."""
+        """Return a retry delay: the time to complete the deferred requests at the current rate."""
         self._decay_completions(now)
-        rate = self._completions / (COMPLETION_WINDOW_US / SECOND_US / 2)  # of a count that decays evenly
+        # The count decays linearly over the window, so it holds half a window's completions on average.
+        rate = self._completions / (COMPLETION_WINDOW_US / SECOND_US / 2)
         if rate > 0:
             expected_wait_us = self.deferred_count / rate * SECOND_US
         else:
--- a/honeybarrow/admission/duplicate_detection.py
+++ b/honeybarrow/admission/duplicate_detection.py
@@ -1,21 +1,23 @@
-"""Decisions on a message that is submitted again: join the first, return its result, or accept it as new.
+"""Duplicate detection: decides how a message that is submitted again is handled.
 
-No I/O and no clock. A client whose connection broke before its answer submits the message again, with the
-same ENVID or Message-ID (RFC 1047 says why it must). What that may mean depends on what became of the first
-one, and on what a second effect would do:
+Performs no I/O and reads no clock. A client whose connection breaks before it reads the reply submits the
+message again with the same ENVID or Message-ID (RFC 1047). The decision depends on the state of the first
+submission and on the idempotency of the message:
 
-| the first one | idempotent | idempotent with key | non-idempotent |
+| first submission | idempotent | idempotent with key | non-idempotent |
 | --- | --- | --- | --- |
-| is open, its client connected or joined | join | join | join |
-| was withdrawn, an attempt is still in flight | new | wait for the attempt | wait for the attempt |
-| ... which delivered it | delivered | delivered | delivered |
-| ... which is proven not to have run | new | new | new |
-| ... which is ambiguous | new | new, inside the key's window | failed |
-| was delivered | delivered | delivered | delivered |
-| was refused, or rejected for good | new | new | new |
-| failed, ambiguous | new | new: inside the window, or after it, as another one | failed |
-
-Results are remembered for a stated time and number; after that a message is new to this forwarder.
+| open | join | join | join |
+| withdrawn, an attempt is in flight | accept as new | await the attempt | await the attempt |
+| withdrawn, the attempt delivered it | delivered | delivered | delivered |
+| withdrawn, the attempt did not run | accept as new | accept as new | accept as new |
+| withdrawn, the attempt is ambiguous | accept as new | accept as new (see below) | failed |
+| delivered | delivered | delivered | delivered |
+| refused, or rejected permanently | accept as new | accept as new | accept as new |
+| failed, ambiguous | accept as new | accept as new (see below) | failed |
+
+With a key, a message that is accepted within the key's window must finish before the window ends; after the
+window it is an independent message. The number and age of remembered submissions are bounded; a forgotten
+message is treated as new.
 """
 
 from __future__ import annotations
@@ -30,17 +32,17 @@
 
 
 class MessageState(enum.Enum):
-    """What became of a message."""
+    """The state of a submitted message."""
 
     OPEN = "open"
-    WITHDRAWN_IN_FLIGHT = "withdrawn, in flight"  # its client is gone, an attempt is not finished
-    NOT_RUN = "not run"  # nothing of it ran, or may run
+    WITHDRAWN_IN_FLIGHT = "withdrawn, in flight"  # the client left while an attempt is unfinished
+    NOT_RUN = "not run"  # no attempt took effect, and none will
     DELIVERED = "delivered"
     AMBIGUOUS = "ambiguous"
 
 
 class MessageEvent(enum.Enum):
-    """What happens to a message after it was accepted."""
+    """An event in the life of an accepted message."""
 
     DELIVERED = "delivered"
     REFUSED = "refused"
@@ -49,11 +51,12 @@
     WITHDRAWN = "withdrawn"
     WITHDRAWN_IN_FLIGHT = "withdrawn, in flight"
     WITHDRAWN_AMBIGUOUS = "withdrawn, ambiguous"
-    ATTEMPT_NOT_RUN = "attempt not run"  # the last attempt of a withdrawn message, as the next one
+    # Outcomes of the last attempt of a withdrawn message:
+    ATTEMPT_NOT_RUN = "attempt not run"
     ATTEMPT_AMBIGUOUS = "attempt ambiguous"
 
 
-# state and event to state; an event that a state does not have is ignored: it came too late to matter
+# Next state by state and event. An event without an entry arrived too late and is ignored.
 TRANSITIONS: dict[tuple[MessageState, MessageEvent], MessageState] = {
     (MessageState.OPEN, MessageEvent.DELIVERED): MessageState.DELIVERED,
     (MessageState.OPEN, MessageEvent.REFUSED): MessageState.NOT_RUN,
@@ -70,28 +73,31 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptAsNew:
-    """Accept it as a new message; ``max_time_left_us`` bounds its time where a key's window ends sooner."""
+    """Accept the message as new.
+
+    ``max_time_left_us`` is the time until the window of the idempotency key ends, or ``None`` without one.
+    """
 
     max_time_left_us: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class JoinMessage:
-    """Its result is the result of this message, which is open."""
+    """Wait for the result of ``message``, the open first submission."""
 
     message: str
 
 
 @dataclass(frozen=True, slots=True)
 class AwaitAttempt:
-    """An attempt of this message is still in flight: check again when it has finished."""
+    """Check again when the attempt in flight of ``message`` has finished."""
 
     message: str
 
 
 @dataclass(frozen=True, slots=True)
 class RepeatResult:
-    """The result is known: delivered, or failed with no promise."""
+    """Return the known result again: delivered, or failed with an unknown effect."""
 
     is_delivered: bool
 
@@ -107,11 +113,14 @@
     submitted_us: int
     state: MessageState = MessageState.OPEN
     changed_us: int = 0
-    window_ends_us: int | None = None  # until when a repeat is dropped, where the policy said so
+    window_ends_us: int | None = None  # end of the key's window, if the policy reported it
 
 
 class DuplicateDetector:
-    """Remembers messages that may come again, by a key that tells two apart. Times are microseconds."""
+    """Remembers submitted messages by duplicate key. Times are in microseconds.
+
+    ``max_entries`` and ``max_age_us`` bound the finished messages that are remembered.
+    """
 
     def __init__(self, max_entries: int = 20_000, max_age_us: int = 60_000_000) -> None:
         self.max_entries, self.max_age_us = max_entries, max_age_us
@@ -122,7 +131,7 @@
         return len(self._by_key)
 
     def check_submission(self, now: int, key: str) -> DuplicateDecision:
-        """Decide on a submitted message. One accepted as new is to be told by :meth:`record_accepted`."""
+        """Decide on a submitted message. Call :meth:`record_accepted` if it is then admitted as new."""
         self._evict_expired(now)
         first = self._by_key.get(key)
         if first is None:
@@ -143,8 +152,8 @@
     def _decide_ambiguous(self, now: int, first: _FirstSubmission) -> DuplicateDecision:
         if first.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
             return RepeatResult(False)
-        # A key's window runs from when the first attempt may have run, which is not before it was submitted.
-        # Past it the partner has forgotten the key, and what comes is another message.
+        # The window starts no earlier than the first submission. After it ends the partner no longer
+        # recognizes the key, so the message is independent of the first one.
         ends_us = first.window_ends_us
         if ends_us is None:
             ends_us = first.submitted_us + first.window_us
@@ -153,17 +162,20 @@
     def record_accepted(
         self, now: int, key: str, message: str, idempotency: Idempotency, window_us: int
     ) -> None:
-        """A message was accepted as new under this key."""
-        old = self._by_key.pop(key, None)
-        if old is not None:
-            self._key_by_message.pop(old.message, None)
+        """Record that ``message`` was accepted as new under ``key``."""
+        previous = self._by_key.pop(key, None)
+        if previous is not None:
+            self._key_by_message.pop(previous.message, None)
         self._by_key[key] = _FirstSubmission(message, idempotency, window_us, now, changed_us=now)
         self._key_by_message[message] = key
 
     def record_event(
         self, now: int, message: str, event: MessageEvent, retry_within_us: int | None = None
     ) -> None:
-        """Something happened to a message; ``retry_within_us``: for so long its partner drops a repeat."""
+        """Update the state of a message after an event.
+
+        ``retry_within_us``: how long from now the partner still discards a repetition, if known.
+        """
         key = self._key_by_message.get(message)
         if key is None:
             return
@@ -176,8 +188,7 @@
         self._by_key.move_to_end(key)
 
     def _evict_expired(self, now: int) -> None:
-        # A few at a time, from the front, where the oldest are: one comes in at a time, and a pass over
-        # all would cost each message the more, the more are remembered.
+        # Entries are ordered by age. A bounded number per call keeps the cost of a submission constant.
         for _ in range(MAX_EVICTIONS_PER_CHECK):
             if not self._by_key:
                 return
@@ -185,7 +196,7 @@
             if len(self._by_key) <= self.max_entries and first.changed_us > now - self.max_age_us:
                 return
             if first.state in (MessageState.OPEN, MessageState.WITHDRAWN_IN_FLIGHT):
-                # in use, and few: as many as messages open and attempts in flight
+                # Entries in use are kept; their number is bounded by admission control.
                 first.changed_us = now
                 self._by_key.move_to_end(key)
             else:
--- a/honeybarrow/admission/fair_share.py
+++ b/honeybarrow/admission/fair_share.py
@@ -1,10 +1,11 @@
-"""Max-min fairness with a reserve: one scarce resource divided among its users by weight.
+"""Weighted fair sharing of a resource, with a reserve for users below their share.
 
-While more than the reserve is free, anybody acquires what it asks for; of the reserve a user acquires only up
-to its share, which is its weight over that of all who use or have lately asked. So a client that floods fills
-what nobody else wants, and one that keeps to its share finds capacity the moment it comes.
+Outside the reserve, any user may acquire capacity. The reserve is available only to users that stay within
+their share: the capacity times the user's weight, divided by the weights of all users that hold or recently
+requested capacity. A user that floods the service can therefore fill idle capacity, while a user within its
+share is admitted at once.
 
-No I/O and no clock: times are arguments, in microseconds.
+Performs no I/O and reads no clock: times are passed as arguments, in microseconds.
 """
 
 from __future__ import annotations
@@ -14,14 +15,17 @@
 from honeybarrow.errors import InvalidValueError
 
 SECOND_US = 1_000_000
-RESERVE_FRACTION = 0.25  # of the capacity, that only users under their share may acquire
-DEMAND_WINDOW_US = 5 * SECOND_US  # a user that asked this lately counts, also while it has nothing
-WEIGHT_UPDATE_INTERVAL_US = SECOND_US // 10  # between two sums of the weights
-MAX_TRACKED_USERS = 4096  # one that has nothing and asks no more is forgotten first
+RESERVE_FRACTION = 0.25  # part of the capacity reserved for users below their share
+DEMAND_WINDOW_US = 5 * SECOND_US  # how long a request counts as demand
+WEIGHT_UPDATE_INTERVAL_US = SECOND_US // 10  # minimum time between updates of the total weight
+MAX_TRACKED_USERS = 4096
 
 
 class FairShare:
-    """One scarce resource and who has how much of it."""
+    """A resource of limited capacity and the amount that each user holds.
+
+    ``weights`` maps a user to its weight; users that are not listed have weight 1.
+    """
 
     def __init__(
         self,
@@ -38,12 +42,12 @@
         self._weights_updated_us = -1
 
     def compute_share(self, now: int, user: str) -> float:
-        """What this user may count on: its weight's part of the whole, among those that want any."""
+        """Record a request by ``user`` and return its share of the capacity among the active users."""
         self._record_request(now, user)
         return self.capacity * self._get_weight(user) / max(self._total_weight, self._get_weight(user))
 
     def can_acquire(self, now: int, user: str, amount: int = 1) -> bool:
-        """Whether a user may acquire so much more."""
+        """Return whether ``user`` may acquire ``amount`` more."""
         share = self.compute_share(now, user)
         if self.used + amount > self.capacity:
             return False
@@ -52,20 +56,20 @@
         return self.used_by.get(user, 0) + amount <= max(1.0, share)
 
     def acquire(self, user: str, amount: int = 1) -> None:
-        """Give so much more to a user, whatever :meth:`can_acquire` says."""
+        """Assign ``amount`` more to ``user`` without checking :meth:`can_acquire`."""
         if not amount:
             return
         self.used += amount
         self.used_by[user] = self.used_by.get(user, 0) + amount
 
     def release(self, user: str, amount: int = 1) -> None:
-        """Take so much back. Raises :class:`InvalidValueError` for more than the user has."""
-        left = self.used_by.get(user, 0) - amount
-        if left < 0:
+        """Take ``amount`` back from ``user``. Raises :class:`InvalidValueError` if it holds less."""
+        remaining = self.used_by.get(user, 0) - amount
+        if remaining < 0:
             raise InvalidValueError(f"{user!r} releases more than it has")
         self.used -= amount
-        if left:
-            self.used_by[user] = left
+        if remaining:
+            self.used_by[user] = remaining
         else:
             del self.used_by[user]
 
@@ -80,15 +84,15 @@
         self._weights_updated_us = now
         stale_users = [
             name
-            for name, at in self._last_request_us_by_user.items()
-            if at < now - DEMAND_WINDOW_US and name not in self.used_by
+            for name, requested_us in self._last_request_us_by_user.items()
+            if requested_us < now - DEMAND_WINDOW_US and name not in self.used_by
         ]
         for name in stale_users:
             del self._last_request_us_by_user[name]
-        # Danger: names that a client can make up at will would fill the table; the oldest go first.
+        # Clients can invent names at will; the bound keeps them from filling the table.
         while len(self._last_request_us_by_user) > MAX_TRACKED_USERS:
             del self._last_request_us_by_user[
                 min(self._last_request_us_by_user, key=self._last_request_us_by_user.__getitem__)
             ]
-        # in the order of asking, so that the same events give the same sum to the last bit
+        # Summed in dict order, so that the floating-point result is reproducible.
         self._total_weight = sum(self._get_weight(name) for name in self._last_request_us_by_user)
--- a/honeybarrow/mail/__init__.py
+++ b/honeybarrow/mail/__init__.py
@@ -1,7 +1,7 @@
-"""SMTP and LMTP without I/O: the grammar, and the session machines of both sides.
+"""SMTP and LMTP without I/O: the grammar, and the protocol state machines of server and client.
 
-``ServerSession`` serves the fronts and the stand-in partners, ``ClientSession`` the calls to partners
-and the rehearsal's clients.
+:class:`ServerSession` is used by the mail fronts and the stand-in partners, :class:`ClientSession` by calls
+to partners and the clients of rehearsals.
 """
 
 from honeybarrow.mail.client import (
--- a/honeybarrow/mail/content.py
+++ b/honeybarrow/mail/content.py
@@ -1,4 +1,4 @@
-"""The content of a message as it comes to a server: lines up to the dot, or chunks; bounded."""
+"""Reception of a message's content by a server: lines up to the final dot, or chunks, within limits."""
 
 from __future__ import annotations
 
@@ -7,69 +7,69 @@
 
 
 class ContentReader:
-    """Collects one message's content. Past the limits it is dropped, and the reply for that kept."""
+    """Collects the content of one message; content over the limits is discarded and the message refused."""
 
     def __init__(self, limits: SessionLimits) -> None:
         self.limits = limits
-        self.refusal: Reply | None = None  # why the message is refused; its bytes are dropped
+        self.refusal: Reply | None = None  # set once the message is refused; its bytes are then discarded
         self._content = bytearray()
 
     def __len__(self) -> int:
-        """The bytes that are held."""
+        """Return the number of bytes held."""
         return len(self._content)
 
     def start(self) -> None:
-        """A new message begins."""
+        """Begin a new message."""
         self._content, self.refusal = bytearray(), None
 
     def append(self, data: bytes) -> None:
-        """Add bytes of the content."""
+        """Append bytes of the content."""
         self._content += data
-        # Danger: endless data; what is past the limit is dropped, all but the two bytes that
-        # the mark of the end may begin with, so that memory stays bounded until the client ends it.
+        # Content over the limit is discarded to bound memory, except for the last two bytes, with which
+        # the end-of-data mark may begin.
         if self.refusal is None and len(self._content) > self.limits.max_message_bytes:
             self.refusal = MESSAGE_TOO_LARGE
         if self.refusal is not None:
             del self._content[:-2]
 
     def read_lines(self, data: bytearray) -> bool:
-        """Take lines off ``data`` up to the one with a dot alone; whether that has come.
+        """Move content from ``data`` to this reader; return whether the final dot has arrived.
 
-        Only CRLF ends a line (RFC 5321 4.1.1.4).
+        Only CRLF ends a line (RFC 5321 4.1.1.4): accepting LF.LF as the end of data would allow a message
+        to smuggle in commands.
         """
         content = self._content
-        # Danger: a server that also takes LF.LF as the end reads commands out of a message (smuggling).
         end = -1
         if not content and data.startswith(b".\r\n"):
-            end, take = 0, 3
+            end, consumed = 0, 3
         else:
-            # the mark may lie across what is kept and what has come
+            # The end-of-data mark may span the bytes already held and the new ones.
             tail = bytes(content[-2:]) if len(content) >= 2 else bytes(content)
             joined = tail + bytes(data)
-            at = joined.find(b"\r\n.\r\n")
-            if at >= 0:
-                end = at + 2 - len(tail)
-                take = end + 3
+            mark_start = joined.find(b"\r\n.\r\n")
+            if mark_start >= 0:
+                end = mark_start + 2 - len(tail)
+                consumed = end + 3
         if end >= 0:
             if end > 0:
                 self.append(bytes(data[:end]))
-            del data[:take]
+            del data[:consumed]
             return True
-        max_mark_prefix = 4  # may be the start of the mark
+        max_mark_prefix = 4  # trailing bytes that may be the start of the end-of-data mark
         if len(data) > max_mark_prefix:
             self.append(bytes(data[:-max_mark_prefix]))
             del data[:-max_mark_prefix]
         return False
 
     def end_line(self) -> None:
-        """End the last line, if it has no end: a message is lines (RFC 5322 2.1); partners get it as such."""
+        """Append CRLF if the last line lacks it (RFC 5322 2.1)."""
         if self._content and not self._content.endswith(CRLF):
             self._content += CRLF
 
     def finish(self, stuffed: bool) -> bytes | Reply:
-        """The whole content, or the reply that refuses it.
+        """Return the whole content, or the reply that refuses it.
 
-        ``stuffed``: the dots of RFC 5321 4.5.2 are taken off.
+        ``stuffed``: whether to undo dot-stuffing (RFC 5321 4.5.2).
         """
         content, self._content = bytes(self._content), bytearray()
         refusal = self.refusal or check_content(content, self.limits.max_text_line_bytes)
@@ -82,7 +82,7 @@
 
 
 def check_content(content: bytes, max_line_bytes: int) -> Reply | None:
-    """The reply that refuses a message's content, or ``None``. ``max_line_bytes``: most bytes of a line."""
+    """Return the reply that refuses invalid content, or ``None``. ``max_line_bytes`` includes CRLF."""
     if content.count(b"\r") != content.count(CRLF) or content.count(b"\n") != content.count(CRLF):
         return BAD_CONTENT
     if b"\0" in content:
--- a/honeybarrow/mail/grammar.py
+++ b/honeybarrow/mail/grammar.py
@@ -1,4 +1,4 @@
-"""Lines, commands, paths and replies of SMTP and LMTP as values; bytes in, values out.
+"""Parsing and encoding of the lines, commands, paths and replies of SMTP and LMTP.
 
 Sources: RFC 5321 (commands 4.1.1, replies 4.2, limits 4.5.3), RFC 2033 (LMTP), RFC 2034 and 3463
 (enhanced codes), RFC 1870 (SIZE), RFC 6152 (8BITMIME), RFC 2852 (DELIVERBY).
@@ -28,12 +28,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A reply: code (RFC 5321 4.2), enhanced code (RFC 3463; empty: none) and text.
+    """A reply: code (RFC 5321 4.2), enhanced code (RFC 3463; empty if absent) and text.
 
-    ``wait_ms`` and ``load`` are what the XADVICE extension carries (``docs/mail.md``): how long to
-    stay away in milliseconds, and the share of the limit that is left with the limit itself in calls
-    a second. ``within_ms``: with a failure, for how long a repeat would still be dropped.
-    ``lines`` are the further lines of a multi-line reply.
+    ``wait_ms``, ``load`` and ``within_ms`` are carried by the XADVICE extension (``docs/mail.md``).
+    ``wait_ms``: retry delay in milliseconds. ``load``: the unused fraction of the rate limit, and the limit
+    in calls per second. ``within_ms``: with a failure, how long the server still discards a repetition, in
+    milliseconds. ``lines``: the further lines of a multi-line reply.
     """
 
     code: int
@@ -46,17 +46,17 @@
 
     @property
     def is_positive(self) -> bool:
-        """Whether the command was accepted or may go on (RFC 5321 4.2.1: 2yz and 3yz)."""
+        """Whether the command was accepted or may continue (2yz and 3yz, RFC 5321 4.2.1)."""
         return 200 <= self.code < 400
 
     @property
     def is_permanent(self) -> bool:
-        """A refusal that no other try changes: addressing (X.1.x) and security or policy (X.7.x)."""
+        """Whether a retry can't succeed: addressing (X.1.x) and security or policy (X.7.x) failures."""
         return self.code >= 500 and self.enhanced.startswith(("5.1.", "5.7."))
 
     @property
     def is_capacity_refusal(self) -> bool:
-        """A refusal for want of room or rate, by the enhanced code, or by the code where there is none."""
+        """Whether the server lacks capacity, by the enhanced code, or by the code if there is none."""
         if not 400 <= self.code < 500:
             return False
         if self.wait_ms > 0 or self.enhanced in CAPACITY_ENHANCED_CODES:
@@ -71,7 +71,7 @@
         return parts
 
     def encode(self, advice: bool = False) -> bytes:
-        """The reply as bytes; with ``advice`` the XADVICE part is written."""
+        """Encode the reply; the XADVICE part is included only with ``advice``."""
         words = [self.enhanced] if self.enhanced else []
         if advice and (parts := self._advice_fields()):
             words.append("[" + " ".join(parts) + "]")
@@ -84,23 +84,26 @@
         )
 
 
-# X.3.1 system full, X.3.2 not accepting, X.4.5 congestion (RFC 3463 3.4 and 3.5), 4.5.3 too many recipients
+# System full, not accepting messages, congestion, too many recipients (RFC 3463 3.4 to 3.6).
 CAPACITY_ENHANCED_CODES = frozenset({"4.3.1", "4.3.2", "4.4.5", "4.5.3"})
 CAPACITY_CODES = frozenset({421, 450, 452})
-MAX_REPLY_TEXT_CHARS = 400  # a reply line is 512 bytes at most (RFC 5321 4.5.3.1.5); kept well under it
+MAX_REPLY_TEXT_CHARS = 400  # keeps a reply line within 512 bytes (RFC 5321 4.5.3.1.5)
 ENHANCED_CODE_PATTERN = re.compile(r"([245])\.(\d{1,3})\.(\d{1,3})(?:\s+|$)")
 ADVICE_FIELD = r"(?:wait=\d{1,9}|within=\d{1,9}|load=[0-9.,eE+-]{1,60})"
 ADVICE_PATTERN = re.compile(rf"\[({ADVICE_FIELD}(?: {ADVICE_FIELD}){{0,2}})\]\s*")
 
 
 def sanitize(text: str) -> str:
-    """Printable ASCII only, bounded: a peer's text must not become a protocol or log line."""
+    """Return at most ``MAX_REPLY_TEXT_CHARS`` characters of ``text``, with all but printable ASCII replaced.
+
+    Keeps the text of a peer from injecting lines into the protocol or the log.
+    """
     return "".join(c if " " <= c <= "~" else "?" for c in text[:MAX_REPLY_TEXT_CHARS])
 
 
 @dataclass(frozen=True, slots=True)
 class Advice:
-    """The XADVICE part of a reply; see :class:`Reply`."""
+    """The XADVICE part of a reply. The fields are those of :class:`Reply`."""
 
     wait_ms: int = 0
     within_ms: int = 0
@@ -108,7 +111,7 @@
 
 
 def read_advice(text: str) -> tuple[str, Advice]:
-    """Take the XADVICE part off a reply's text; one that is not well-formed stays text."""
+    """Split a reply's text into plain text and XADVICE part. A malformed part remains in the text."""
     match = ADVICE_PATTERN.match(text)
     if not match:
         return text, Advice()
@@ -119,19 +122,15 @@
         return text, Advice()
     if any(not math.isfinite(item) or abs(item) > MAX_ADVICE_LOAD for item in load):
         return text, Advice()
-    found = Advice(int(parts.get("wait", 0)), int(parts.get("within", 0)), load)
-    return text[match.end() :], found
+    advice = Advice(int(parts.get("wait", 0)), int(parts.get("within", 0)), load)
+    return text[match.end() :], advice
 
 
 MAX_ADVICE_LOAD = 1e9
 
 
 class ReplyReader:
-    """Puts the lines of a server together to replies (RFC 5321 4.2.1).
-
-    Raises :class:`BadReply` on a line without a code, codes that differ within a reply, a reply of
-    too many lines, and bytes that are no text.
-    """
+    """Assembles the lines of a server into replies (RFC 5321 4.2.1)."""
 
     MAX_LINES = 100
 
@@ -140,7 +139,11 @@
         self._code = 0
 
     def feed(self, line: bytes) -> Reply | None:
-        """Take one line without its end; the reply if it is whole now."""
+        """Add one line without its CRLF; return the reply if the line completes it.
+
+        Raises :class:`InvalidReplyError` for a line without a valid code, differing codes within a reply,
+        too many lines, and control characters that end a line.
+        """
         if len(line) < 3 or not line[:3].isdigit() or not 200 <= int(line[:3]) <= 599:
             raise InvalidReplyError(f"no reply code in {sanitize(line[:60].decode('latin-1'))!r}")
         if len(line) > 3 and line[3:4] not in b" -":
@@ -161,7 +164,7 @@
         rows, self._rows = self._rows, []
         first, enhanced = rows[0], ""
         match = ENHANCED_CODE_PATTERN.match(first)
-        # the class of an enhanced code must agree with its code (RFC 2034 4), else it is text
+        # An enhanced code whose class differs from that of the code is plain text (RFC 2034 4).
         if match and match.group(1) == str(code)[0]:
             enhanced, first = match.group(0).strip(), first[match.end() :]
         text, advice = read_advice(first)
@@ -175,8 +178,6 @@
     remedy = "the call counts as lost in doubt; tell the partner, whose server breaks the protocol"
 
 
-# --- commands ---------------------------------------------------------------------------------------
-
 SYNTAX_ERROR = Reply(501, "5.5.4", "syntax error in parameters")
 UNKNOWN_COMMAND = Reply(500, "5.5.1", "command not recognized")
 BARE_CONTROL_CHARACTER = Reply(500, "5.5.2", "bare CR, LF or NUL in a command")
@@ -187,14 +188,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """A command line: the verb in upper case and what follows it."""
+    """A command line: the verb in upper case and its parameters as text."""
 
     verb: str
     rest: str = ""
 
 
 def read_command(line: bytes) -> Command:
-    """A line without its CRLF as a command (RFC 5321 4.1.1). Raises :class:`GrammarError`."""
+    """Parse a line without its CRLF as a command (RFC 5321 4.1.1). Raises :class:`GrammarError`."""
     if b"\r" in line or b"\n" in line or b"\0" in line:
         raise GrammarError(BARE_CONTROL_CHARACTER)
     try:
@@ -209,7 +210,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Path:
-    """A mailbox (RFC 5321 4.1.2); both parts empty for the null reverse-path."""
+    """A mailbox (RFC 5321 4.1.2). Both parts are empty for the null reverse-path."""
 
     local: str
     domain: str
@@ -229,7 +230,11 @@
 
 
 def read_path(text: str, keyword: str, invalid_reply: Reply) -> tuple[Path, str]:
-    """``FROM:<path>`` or ``TO:<path>``: the path and the rest. A source route is dropped (appendix C)."""
+    """Parse ``FROM:<path>`` or ``TO:<path>``; return the path and the text that follows it.
+
+    ``keyword`` is ``FROM:`` or ``TO:``. A source route is ignored (RFC 5321 appendix C). Raises
+    :class:`GrammarError`, with ``invalid_reply`` for an invalid path.
+    """
     if text[: len(keyword)].upper() != keyword:
         raise GrammarError(SYNTAX_ERROR)
     body = text[len(keyword) :].lstrip(" ")
@@ -255,7 +260,7 @@
 
 
 def _find_path_end(body: str) -> int:
-    """The index of the bracket that ends a path, outside quoted strings; -1 if there is none."""
+    """Return the index of the bracket that ends a path, ignoring quoted strings, or -1 if there is none."""
     quoted, i = False, 1
     while i < len(body):
         if body[i] == "\\" and quoted:
@@ -269,7 +274,7 @@
 
 
 def read_address(text: str) -> Path:
-    """``local@domain``, or nothing for the null path. Raises ``ValueError``."""
+    """Parse ``local@domain``, or empty text for the null path. Raises ``ValueError``."""
     try:
         path, rest = read_path(f"TO:<{text}>", "TO:", INVALID_RECIPIENT_ADDRESS)
     except GrammarError:
@@ -281,7 +286,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MailParameters:
-    """The parameters of MAIL: SIZE in bytes, BODY, BY in seconds with its mode, ENVID as it was written."""
+    """The parameters of MAIL.
+
+    ``is_eight_bit``: BODY=8BITMIME; ``by_s``: time limit of BY in seconds; ``is_by_return``: whether the mode
+    of BY is R (return); ``envelope_id``: ENVID, still encoded as xtext.
+    """
 
     size_bytes: int = 0
     is_eight_bit: bool = False
@@ -290,29 +299,28 @@
     envelope_id: str = ""
 
 
-XTEXT_PATTERN = re.compile(
-    r"(?:[!-*,-<>-~]|\+[0-9A-F]{2}){1,100}"
-)  # RFC 3461 4; ENVID has 100 characters at most
+# RFC 3461 4; an ENVID has at most 100 characters.
+XTEXT_PATTERN = re.compile(r"(?:[!-*,-<>-~]|\+[0-9A-F]{2}){1,100}")
 BY_PATTERN = re.compile(r"(-?\d{1,9});([RN])T?", re.IGNORECASE)
 
 
 def read_mail_parameters(text: str) -> MailParameters:
-    """``SIZE=``, ``BODY=``, ``BY=`` and ``ENVID=`` of a MAIL command. Raises :class:`GrammarError`."""
-    size, eight, by_s, by_return, envelope_id = 0, False, None, False, ""
-    seen: set[str] = set()
+    """Parse the parameters ``SIZE``, ``BODY``, ``BY`` and ``ENVID`` of MAIL. Raises :class:`GrammarError`."""
+    size_bytes, is_eight_bit, by_s, is_by_return, envelope_id = 0, False, None, False, ""
+    seen_names: set[str] = set()
     for word in text.split():
         name, _, value = word.partition("=")
         name = name.upper()
-        if name in seen:
+        if name in seen_names:
             raise GrammarError(SYNTAX_ERROR)
-        seen.add(name)
+        seen_names.add(name)
         if name == "SIZE" and value.isdigit() and len(value) <= 20:
-            size = int(value)
+            size_bytes = int(value)
         elif name == "BODY" and value.upper() in ("7BIT", "8BITMIME"):
-            eight = value.upper() == "8BITMIME"
+            is_eight_bit = value.upper() == "8BITMIME"
         elif name == "BY" and (match := BY_PATTERN.fullmatch(value)):
-            by_s, by_return = int(match.group(1)), match.group(2).upper() == "R"
-            if by_return and by_s <= 0:  # RFC 2852 4: a returned message needs time to be delivered in
+            by_s, is_by_return = int(match.group(1)), match.group(2).upper() == "R"
+            if is_by_return and by_s <= 0:  # RFC 2852 4 requires a positive time in mode R
                 raise GrammarError(SYNTAX_ERROR)
         elif name == "ENVID" and XTEXT_PATTERN.fullmatch(value):
             envelope_id = value
@@ -320,11 +328,11 @@
             raise GrammarError(SYNTAX_ERROR)
         else:
             raise GrammarError(Reply(555, "5.5.4", "parameter not implemented"))
-    return MailParameters(size, eight, by_s, by_return, envelope_id)
+    return MailParameters(size_bytes, is_eight_bit, by_s, is_by_return, envelope_id)
 
 
 def stuff_dots(content: bytes) -> bytes:
-    """Dot-stuffing (RFC 5321 4.5.2) and the end of data. The content has CRLF line ends."""
+    """Dot-stuff content with CRLF line ends (RFC 5321 4.5.2) and append the end of data."""
     if content and not content.endswith(CRLF):
         content += CRLF
     stuffed = content.replace(b"\r\n.", b"\r\n..")
--- a/honeybarrow/mail/server.py
+++ b/honeybarrow/mail/server.py
@@ -1,8 +1,8 @@
-"""The server's side of an SMTP or LMTP session: bytes in, events out, answers in, bytes out.
+"""The server side of an SMTP or LMTP session, as a state machine without I/O.
 
-The session does no I/O. Feed bytes with :meth:`ServerSession.receive`, take events with
-:meth:`ServerSession.next_event` until it says ``None``, answer those that ask for it with
-:meth:`ServerSession.answer`, and write what :meth:`ServerSession.take_output` gives.
+Pass received bytes to :meth:`ServerSession.receive`, then call :meth:`ServerSession.next_event` until it
+returns ``None``. Reply to events that need it with :meth:`ServerSession.answer`, and write the bytes that
+:meth:`ServerSession.take_output` returns.
 """
 
 from __future__ import annotations
@@ -56,7 +56,10 @@
 
 
 class ServerSession(SessionBuffers):
-    """One session. ``lmtp`` chooses RFC 2033; ``name`` is the server's own domain."""
+    """The server side of one session.
+
+    ``name`` is the server's own domain; ``lmtp`` selects LMTP (RFC 2033) instead of SMTP.
+    """
 
     def __init__(
         self,
@@ -68,33 +71,30 @@
     ) -> None:
         super().__init__(name, lmtp, limits or SessionLimits())
         self.offer_tls, self.offer_auth, self.tls = offer_tls, offer_auth, False
-        self.user = ""  # who has proved to be there by AUTH
+        self.user = ""  # account name, once authenticated with AUTH
         self.peer_name = ""
-        self._is_skipping_line = False  # the rest of an over-long command line
+        self._is_skipping_line = False  # discarding the rest of an overlong command line
         self._transaction: _Transaction | None = None
         self._pending_event: Sender | Recipient | Message | Credentials | None = None
         self._state_before_chunk = State.BEFORE_HELLO
-        self._chunk_bytes_left, self._is_last_chunk = (
-            0,
-            False,
-        )  # bytes that a BDAT still brings, and whether it is the last
-        self._chunk_refusal: Reply | None = None  # why a BDAT's bytes are dropped: it came out of order
-        self._replies_due = 0  # replies that the event still needs
+        self._chunk_bytes_left, self._is_last_chunk = 0, False
+        self._chunk_refusal: Reply | None = None  # reply to a BDAT out of order, whose bytes are discarded
+        self._replies_due = 0  # replies that the pending event still needs
         self._content = ContentReader(self.limits)
         self._is_closed_reported = False
 
     @property
     def is_in_content(self) -> bool:
-        """Whether bytes of a message are on their way."""
+        """Whether the client is sending the content of a message."""
         return self.state in (State.DATA, State.CHUNK_DATA)
 
     @property
     def is_in_transaction(self) -> bool:
-        """Whether a sender was accepted whose message has no reply yet."""
+        """Whether a transaction is open: its sender was accepted and its message has no final reply."""
         return self._transaction is not None
 
     def next_event(self) -> Event | None:
-        """The next event, or ``None`` when more bytes or an answer are needed."""
+        """Return the next event, or ``None`` if more bytes or a reply are needed."""
         while self.state is not State.AWAITING_REPLY:
             if self.state is State.CLOSED:
                 if self._is_closed_reported:
@@ -114,16 +114,18 @@
         return None
 
     def _read_command_event(self) -> Event | _NoEvent | None:
-        at = self._in.find(CRLF)
+        line_end = self._in.find(CRLF)
         if self._is_skipping_line:
-            return self._skip_line(at)
-        if at > self.limits.max_command_bytes or (at < 0 and len(self._in) > self.limits.max_command_bytes):
+            return self._skip_line(line_end)
+        if line_end > self.limits.max_command_bytes or (
+            line_end < 0 and len(self._in) > self.limits.max_command_bytes
+        ):
             self._is_skipping_line = True
             return NO_EVENT
-        if at < 0:
+        if line_end < 0:
             return None
-        line = bytes(self._in[:at])
-        del self._in[: at + 2]
+        line = bytes(self._in[:line_end])
+        del self._in[: line_end + 2]
         if self.state is State.AUTH:
             self.state = State.READY
             return self._on_credentials(line)
@@ -132,12 +134,12 @@
         except GrammarError as error:
             return self._reject_input(error.reply)
 
-    def _skip_line(self, at: int) -> Event | None:
-        """Drop the rest of an over-long command line, which ends at ``at``, or has no end yet."""
-        if at < 0:
+    def _skip_line(self, line_end: int) -> Event | None:
+        """Discard the rest of an overlong command line. ``line_end`` is negative until its end arrives."""
+        if line_end < 0:
             del self._in[:-1]
             return None
-        del self._in[: at + 2]
+        del self._in[: line_end + 2]
         self._is_skipping_line = False
         return self._reject_input(grammar.COMMAND_LINE_TOO_LONG)
 
@@ -149,8 +151,8 @@
         if command.verb not in ALLOWED_COMMANDS[self.state]:
             raise GrammarError(OUT_OF_ORDER)
         if command.verb in LAST_IN_PIPELINE and self._in:
-            # Danger: bytes behind DATA or EHLO were written without knowing the reply; read as
-            # commands or content they mean what nobody meant (RFC 2920 3.1; command injection).
+            # A client must wait for the reply to these commands (RFC 2920 3.1). Interpreting bytes that
+            # it sent before would allow command injection.
             self._write_reply(SENT_BEFORE_REPLY)
             self.state = State.CLOSED
             return InputRejected(SENT_BEFORE_REPLY)
@@ -214,22 +216,20 @@
             self._write_reply(Reply(250, "", self.name, lines=extensions))
         return Hello(self.peer_name, self.extended)
 
-    # TLS and AUTH
-
     def _on_starttls(self, rest: str) -> Event:
         if rest:
             raise GrammarError(grammar.SYNTAX_ERROR)
         if not self.offer_tls or self.tls:
             raise GrammarError(TLS_ALREADY_ACTIVE if self.tls else TLS_NOT_OFFERED)
-        # Danger: commands that someone on the way put in behind STARTTLS would be read as sent inside
-        # it (RFC 3207 5, CVE-2011-0411). What is there in the clear is dropped unread.
+        # Plaintext after STARTTLS is discarded: an attacker could otherwise inject commands that appear to
+        # have been sent under TLS (RFC 3207 5, CVE-2011-0411).
         self._in.clear()
         self._write_reply(Reply(220, "2.0.0", "go ahead"))
         self.state = State.BEFORE_HELLO
         return StartTls()
 
     def on_tls_started(self) -> None:
-        """TLS is on: the session starts anew and discards what it knew of the client (RFC 3207 4.2)."""
+        """Reset the session for TLS, discarding all knowledge of the client (RFC 3207 4.2)."""
         self.tls, self.state = True, State.BEFORE_HELLO
         self.peer_name, self.extended, self.user = "", False, ""
         self._transaction = None
@@ -257,13 +257,11 @@
             else self._await_reply(credentials)
         )
 
-    # content
-
     def _on_bdat(self, rest: str) -> Event | _NoEvent:
-        """BDAT (RFC 3030 2): its bytes follow at once, so also a refused one must be read past."""
+        """Handle BDAT (RFC 3030 2). Its bytes follow at once, so those of a refused BDAT are read as well."""
         chunk = read_chunk(rest)
         if chunk is None:
-            # where the bytes end isn't known: nothing behind can be read as commands
+            # The end of the chunk is unknown, so the following bytes can't be parsed as commands.
             self._write_reply(grammar.SYNTAX_ERROR)
             self.state = State.CLOSED
             return InputRejected(grammar.SYNTAX_ERROR)
@@ -308,19 +306,17 @@
         event = Message(transaction.sender, transaction.parameters, tuple(transaction.recipients), content)
         return self._await_reply(event)
 
-    # answers
-
     def answer(self, *replies: Reply) -> None:
-        """Answer the event that waits. An LMTP message takes a reply for each recipient, in order;
-        they may come one at a time, and each goes out as it comes (RFC 2033 4.2).
+        """Reply to the pending event.
 
-        Raises ``RuntimeError`` when more replies come than are due.
+        An LMTP message takes one reply for each recipient, in order (RFC 2033 4.2). They may be given in
+        several calls and are written at once. Raises ``RuntimeError`` for more replies than are due.
         """
         if self.state is State.CLOSED:
             return
         event = self._pending_event
         if event is None or len(replies) > self._replies_due:
-            raise RuntimeError(f"{len(replies)} replies come where {self._replies_due} are due")
+            raise RuntimeError(f"{len(replies)} replies given, but {self._replies_due} are due")
         self._replies_due -= len(replies)
         for reply in replies:
             self._write_reply(reply)
@@ -328,9 +324,9 @@
             return
         self._pending_event = None
         if isinstance(event, Sender):
-            taken = replies[0].is_positive
-            self._transaction = _Transaction(event.path, event.parameters) if taken else None
-            self.state = State.MAIL if taken else State.READY
+            is_accepted = replies[0].is_positive
+            self._transaction = _Transaction(event.path, event.parameters) if is_accepted else None
+            self.state = State.MAIL if is_accepted else State.READY
         elif isinstance(event, Recipient):
             assert self._transaction is not None
             if replies[0].is_positive:
@@ -357,7 +353,7 @@
 
 
 class _NoEvent:
-    """An input that was dealt with and gives no event."""
+    """The result of input that was processed without an event."""
 
 
 NO_EVENT = _NoEvent()
--- a/honeybarrow/mail/server_buffers.py
+++ b/honeybarrow/mail/server_buffers.py
@@ -1,4 +1,4 @@
-"""The bytes of a server's session that wait to be read or written, and the count of the client's errors."""
+"""Input and output buffers of a server session, and its count of client errors."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class SessionBuffers:
-    """What a session has read and not parsed, and what it has to write; both bounded by ``limits``."""
+    """The base of a server session: its buffers of unparsed input and unwritten output, and its limits."""
 
     def __init__(self, name: str, lmtp: bool, limits: SessionLimits) -> None:
         self.name, self.lmtp, self.limits = name, lmtp, limits
@@ -18,17 +18,17 @@
         self._error_count = 0
 
     def greet(self) -> None:
-        """Write the greeting."""
+        """Write the greeting (220)."""
         kind = "LMTP" if self.lmtp else "ESMTP"
         self._out += Reply(220, "", f"{self.name} {kind} ready").encode()
 
     def refuse(self, reply: Reply) -> None:
-        """Write a last reply, instead of the greeting or between commands, and close."""
+        """Write a final reply, instead of the greeting or between commands, and close the session."""
         self._out += reply.encode(advice=True)
         self.state = State.CLOSED
 
     def receive(self, data: bytes) -> None:
-        """Take bytes from the peer; over the bound of what may wait, the session closes."""
+        """Buffer bytes from the peer; close the session if more than ``max_buffered_bytes`` are unparsed."""
         if self.state is State.CLOSED:
             return
         self._in += data
@@ -38,16 +38,16 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether an event waits for its answer; reading may pause meanwhile."""
+        """Whether an event waits for its reply. Reading may pause until then."""
         return self.state is State.AWAITING_REPLY
 
     @property
     def backlog_bytes(self) -> int:
-        """Bytes read and not yet parsed."""
+        """The number of bytes received but not yet parsed."""
         return len(self._in)
 
     def take_output(self) -> bytes:
-        """The bytes to write to the client, each given once."""
+        """Return and clear the bytes to write to the client."""
         out, self._out = bytes(self._out), bytearray()
         return out
 
--- a/honeybarrow/mail/server_commands.py
+++ b/honeybarrow/mail/server_commands.py
@@ -1,4 +1,4 @@
-"""What a server reads from the parameters of a command, and the extensions that it offers."""
+"""Parsing of the parameters of commands by a server, and the extensions that it offers."""
 
 from __future__ import annotations
 
@@ -12,14 +12,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Chunk:
-    """What BDAT announces: the bytes that follow at once, and whether they are the last of the message."""
+    """The parameters of BDAT: the size of the chunk in bytes, and whether it is the last of the message."""
 
     size: int
     is_last: bool
 
 
 def read_sender(rest: str, extended: bool, max_message_bytes: int) -> Sender:
-    """MAIL (RFC 5321 4.1.1.2). Raises :class:`GrammarError`."""
+    """Parse the parameters of MAIL (RFC 5321 4.1.1.2). Raises :class:`GrammarError`.
+
+    ``extended``: whether the client sent EHLO or LHLO, which allows ESMTP parameters.
+    """
     path, more = grammar.read_path(rest, "FROM:", grammar.INVALID_SENDER_ADDRESS)
     parameters = grammar.read_mail_parameters(more)
     if more and not extended:
@@ -30,7 +33,7 @@
 
 
 def read_recipient(rest: str) -> Recipient:
-    """RCPT (RFC 5321 4.1.1.3). Raises :class:`GrammarError`."""
+    """Parse the parameters of RCPT (RFC 5321 4.1.1.3). Raises :class:`GrammarError`."""
     path, more = grammar.read_path(rest, "TO:", grammar.INVALID_RECIPIENT_ADDRESS)
     if more:
         raise GrammarError(Reply(555, "5.5.4", "parameter not implemented"))
@@ -40,7 +43,7 @@
 
 
 def read_chunk(rest: str) -> Chunk | None:
-    """BDAT (RFC 3030 2); ``None`` if it can't be read."""
+    """Parse the parameters of BDAT (RFC 3030 2); return ``None`` if they are invalid."""
     size, _, last = rest.partition(" ")
     if not size.isdigit() or len(size) > 12 or last.upper() not in ("", "LAST"):
         return None
@@ -48,7 +51,10 @@
 
 
 def read_credentials(line: bytes) -> Credentials | None:
-    """The response of RFC 4616 2: authorization, name and password, set apart by NUL; else ``None``."""
+    """Parse a base64 PLAIN response (RFC 4616 2); return ``None`` if it is invalid.
+
+    The response holds the authorization identity, the name and the password, separated by NUL.
+    """
     try:
         parts = base64.b64decode(line, validate=True).split(b"\0")
         if len(parts) != 3 or not parts[1] or parts[0] not in (b"", parts[1]):
@@ -59,7 +65,7 @@
 
 
 def list_extensions(max_message_bytes: int, offers_tls: bool, offers_auth: bool) -> tuple[str, ...]:
-    """The lines of the reply to EHLO or LHLO, in the order in which they are written."""
+    """Return the extension lines of the reply to EHLO or LHLO, in the order in which they are sent."""
     extensions = ["PIPELINING", f"SIZE {max_message_bytes}", "8BITMIME", "ENHANCEDSTATUSCODES", "DELIVERBY"]
     extensions += ["CHUNKING", "XADVICE", "XENVID"]
     if offers_tls:
--- a/honeybarrow/mail/server_events.py
+++ b/honeybarrow/mail/server_events.py
@@ -1,4 +1,4 @@
-"""States, limits and events of a server's session, the replies it gives by itself, and what a state takes."""
+"""States, events and limits of a server session, the commands allowed in each state, and fixed replies."""
 
 from __future__ import annotations
 
@@ -9,22 +9,21 @@
 
 
 class State(enum.Enum):
-    """Where a session stands."""
+    """The state of a server session."""
 
-    BEFORE_HELLO = "fresh"  # no HELO yet
-    READY = "ready"  # greeted, no transaction
-    MAIL = "mail"  # a sender, no recipient yet
+    BEFORE_HELLO = "fresh"
+    READY = "ready"  # after the hello command, without a transaction
+    MAIL = "mail"  # sender accepted, no recipient yet
     RCPT = "rcpt"  # at least one recipient accepted
-    DATA = "data"  # the message's content is on its way, as lines
-    BETWEEN_CHUNKS = "chunks"  # some of it has come by BDAT, and more is to come
-    CHUNK_DATA = "chunk"  # the bytes of a BDAT are on their way
-    AUTH = "auth"  # the client's response to AUTH is awaited
-    AWAITING_REPLY = "asked"  # an event waits for its reply; nothing is parsed meanwhile
+    DATA = "data"  # receiving content lines after DATA
+    BETWEEN_CHUNKS = "chunks"  # a chunk that was not the last is complete
+    CHUNK_DATA = "chunk"  # receiving the bytes of a BDAT
+    AUTH = "auth"  # awaiting the client's response to AUTH
+    AWAITING_REPLY = "asked"  # an event waits for its reply; no input is parsed
     CLOSED = "closed"
 
 
-# Which commands a state takes (RFC 5321 4.1.4). What isn't here is out of order: 503 5.5.1.
-# NOOP, RSET, QUIT, HELP and VRFY are taken wherever commands are read.
+# Commands by state (RFC 5321 4.1.4). Others are out of order and answered with 503 5.5.1.
 ALWAYS_ALLOWED_COMMANDS = frozenset({"NOOP", "RSET", "QUIT", "HELP", "VRFY"})
 ALLOWED_COMMANDS: dict[State, frozenset[str]] = {
     State.BEFORE_HELLO: ALWAYS_ALLOWED_COMMANDS | {"HELO", "EHLO", "LHLO"},
@@ -34,9 +33,8 @@
     State.BETWEEN_CHUNKS: frozenset({"NOOP", "RSET", "QUIT", "BDAT"}),  # RFC 3030 2
 }
 COMMAND_VERBS = frozenset().union(*ALLOWED_COMMANDS.values())
-LAST_IN_PIPELINE = frozenset(
-    {"EHLO", "HELO", "LHLO", "DATA", "AUTH"}
-)  # the last command of a pipelined group (RFC 2920 3.1)
+# Commands that must end a pipelined group (RFC 2920 3.1).
+LAST_IN_PIPELINE = frozenset({"EHLO", "HELO", "LHLO", "DATA", "AUTH"})
 
 OUT_OF_ORDER = Reply(503, "5.5.1", "command out of order")
 SENT_BEFORE_REPLY = Reply(503, "5.5.0", "sent before the reply it had to wait for")
@@ -61,19 +59,22 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionLimits:
-    """Bounds of a session; bytes, counts. RFC 5321 4.5.3.1 gives the least that a server must accept."""
+    """Limits of a session. RFC 5321 4.5.3.1 gives the minimum that a server must accept."""
 
-    max_command_bytes: int = 1000  # 512 of the base, and room for the parameters of extensions
+    max_command_bytes: int = 1000  # 512 of RFC 5321, and space for the parameters of extensions
     max_text_line_bytes: int = 1000
     max_message_bytes: int = 1 << 20
     max_recipients: int = 100
     max_errors: int = 10
-    max_buffered_bytes: int = 1 << 18  # read but not yet parsed; a transport is paused long before
+    max_buffered_bytes: int = 1 << 18  # received but not yet parsed
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """The client has introduced itself. Needs no reply."""
+    """The client sent HELO, EHLO or LHLO. Needs no reply.
+
+    ``extended``: whether the command was EHLO or LHLO.
+    """
 
     name: str
     extended: bool
@@ -81,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sender:
-    """MAIL; waits for a reply."""
+    """The client sent MAIL. Needs one reply."""
 
     path: Path
     parameters: MailParameters
@@ -89,20 +90,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Recipient:
-    """RCPT; waits for a reply."""
+    """The client sent RCPT. Needs one reply."""
 
     path: Path
 
 
 @dataclass(frozen=True, slots=True)
 class StartTls:
-    """The client requests TLS (RFC 3207): once the output is written, the handshake comes; then call
-    :meth:`ServerSession.on_tls_started`."""
+    """The client requests TLS (RFC 3207).
+
+    Write the output, call :meth:`ServerSession.on_tls_started`, and start the handshake.
+    """
 
 
 @dataclass(frozen=True, slots=True, repr=False)
 class Credentials:
-    """AUTH PLAIN (RFC 4616); waits for a reply. Has no repr: a password must not get into a log."""
+    """The client sent AUTH PLAIN (RFC 4616). Needs one reply.
+
+    Has no generated repr, so that the password can't appear in a log.
+    """
 
     name: str
     password: bytes
@@ -110,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """The whole message; waits for its replies: one, or with LMTP one for each recipient."""
+    """The client sent a complete message. Needs one reply, or with LMTP one for each recipient."""
 
     sender: Path
     parameters: MailParameters
@@ -120,14 +126,14 @@
 
 @dataclass(frozen=True, slots=True)
 class InputRejected:
-    """Bad input was rejected by the session itself. For the log; needs no reply."""
+    """The session rejected invalid input with ``reply`` by itself. Needs no reply."""
 
     reply: Reply
 
 
 @dataclass(frozen=True, slots=True)
 class Closed:
-    """The session is over; close the connection once the output is written."""
+    """The session has ended. Close the connection once the output is written."""
 
 
 Event = Hello | Sender | Recipient | Message | StartTls | Credentials | InputRejected | Closed
