--- a/honeybarrow/mail_front/__init__.py
+++ b/honeybarrow/mail_front/__init__.py
@@ -1,4 +1,4 @@
-"""The mail fronts: clients submit over SMTP and LMTP, messages are routed by rules and enter the core."""
+"""The mail fronts: clients submit messages over SMTP and LMTP, which are routed by rules and delivered."""
 
 from honeybarrow.mail_front.connection_registry import ConnectionRegistry, MailFrontLimits
 from honeybarrow.mail_front.protocol import MailServerFactory, MailServerProtocol
--- a/honeybarrow/mail_front/connection_registry.py
+++ b/honeybarrow/mail_front/connection_registry.py
@@ -1,4 +1,4 @@
-"""The connected clients of all mail fronts of a forwarder, what they share, and their periodic checks."""
+"""The registry of connected clients, shared by all mail fronts of a forwarder, and its periodic checks."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from honeybarrow.mail_front.submission import MailSubmissionService
 from honeybarrow.ports import Clock, Logger
 
-SWEEP_INTERVAL_S = 1.0  # how often slow transactions are looked for
+SWEEP_INTERVAL_S = 1.0  # interval between checks for slow transactions
 TRANSACTION_TOO_SLOW = Reply(421, "4.4.2", "too slow, closing")
 
 
 @dataclass(frozen=True, slots=True)
 class MailFrontLimits:
-    """Bounds of a front: seconds of silence between commands and within data, and Received lines (hops)."""
+    """Limits of a front: idle time between commands, idle time within content, and the number of hops."""
 
     command_timeout_s: float = 300.0
     data_timeout_s: float = 180.0
@@ -31,28 +31,29 @@
 
 
 class ClientConnection(Protocol):
-    """The role of a client's connection towards the registry."""
+    """The interface of a client connection that the registry uses."""
 
     connection_id: int
 
     def close_when_idle(self) -> None:
-        """Close now, or after the transaction that is open."""
+        """Close now, or after the open transaction."""
         ...
 
     def close_with_reply(self, reply: Reply) -> None:
-        """Write a last reply and close."""
+        """Write a final reply and close."""
         ...
 
     def resume_reading(self) -> None:
-        """Read again from a connection that was paused."""
+        """Resume reading from a paused connection."""
         ...
 
 
 class ConnectionRegistry:
-    """One for all fronts of a forwarder.
+    """The client connections of all fronts of a forwarder, and the services that they share.
 
-    ``new_id`` gives message ids, ``format_date`` the date for trace lines (RFC 5322 3.3). ``tls_context``:
-    for STARTTLS, ``None`` where it is not offered; ``check_password`` fires with whether it is an account's.
+    ``new_id`` returns a message id and ``format_date`` the current date for trace lines (RFC 5322 3.3).
+    ``tls_context`` is used for STARTTLS; ``None`` disables it. ``check_password`` takes an account and a
+    password and fires with whether they match; ``None`` disables AUTH.
     """
 
     def __init__(
@@ -84,32 +85,32 @@
         self._sweep_timer: Any = None
 
     def next_connection_id(self) -> int:
-        """A number that no other connection of this process has."""
+        """Return a number that is unique among the connections of this process."""
         self._last_connection_id += 1
         return self._last_connection_id
 
     def add(self, connection: ClientConnection) -> None:
-        """Register a connection that was admitted."""
+        """Register an admitted connection."""
         self.connections[connection.connection_id] = connection
         if self._sweep_timer is None:
             self._sweep_timer = self.clock.callLater(SWEEP_INTERVAL_S, self._close_slow_connections)
 
     def remove(self, connection: ClientConnection) -> None:
-        """Release what an admitted connection held; it is closed."""
+        """Remove a closed connection and release the capacity that it held."""
         self.connections.pop(connection.connection_id, None)
         self.paused_connections.pop(connection.connection_id, None)
         self.admission.close_session(self.now_us(), connection.connection_id)
         self.resume_paused()
 
     def resume_paused(self) -> None:
-        """Read on from paused connections as far as the admission control allows."""
+        """Resume the paused connections that admission control now allows to read."""
         for connection_id, connection in list(self.paused_connections.items()):
             if self.admission.can_read(self.now_us(), connection_id):
                 del self.paused_connections[connection_id]
                 connection.resume_reading()
 
     def _close_slow_connections(self) -> None:
-        """Close connections whose transactions take too long; once a second while there are any."""
+        """Close connections with slow transactions; repeats while any connection is open."""
         self._sweep_timer = None
         for connection_id in self.admission.find_slow_sessions(self.now_us()):
             if connection_id in self.connections:
@@ -119,16 +120,16 @@
             self._sweep_timer = self.clock.callLater(SWEEP_INTERVAL_S, self._close_slow_connections)
 
     def start_drain(self) -> None:
-        """Admit nothing new; connections close after the transaction they are in."""
+        """Stop admitting transactions; each connection closes after its open transaction."""
         self.admission.is_stopping = True
         for connection in list(self.connections.values()):
             connection.close_when_idle()
 
     def build_duplicate_key(self, client: str, message: mail.Message, recipient: mail.Path) -> str:
-        """What submissions of the same message have in common; empty if the client gave it no id."""
+        """Return the key shared by submissions of the same message, or ``""`` if the client gave no id."""
         submission_id = message.parameters.envelope_id or mail.read_header(message.content, "Message-ID")
         if not submission_id:
             return ""
-        # Danger: another message under an id that was used before would get the first one's answer.
+        # The body is part of the key, so that a different message that reuses an id is not a duplicate.
         body = hashlib.blake2b(mail.split_content(message.content)[1], digest_size=16).hexdigest()
         return f"{client}\0{submission_id}\0{recipient}\0{body}"
--- a/honeybarrow/mail_front/message_preparation.py
+++ b/honeybarrow/mail_front/message_preparation.py
@@ -1,4 +1,4 @@
-"""What is read from a whole message before it is submitted: properties and time left, by recipient."""
+"""Preparation of a received message for submission: its properties and time left for each recipient."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def route_message(router: MessageRouter, route: Route, message: Message) -> RoutedMessage | Reply:
-    """The message for one recipient, or the reply where the rules can't place it."""
+    """Return the message as routed for one recipient, or the reply if the routing rules reject it."""
     try:
         return RoutedMessage(route, router.read_properties(route, message.sender, message.content))
     except UnroutableError as error:
@@ -20,9 +20,9 @@
 def compute_times_left_us(
     router: MessageRouter, message: Message, routed: Sequence[RoutedMessage | Reply], elapsed_us: int
 ) -> list[int]:
-    """The time left for each recipient with a route, in microseconds.
+    """Return the time left for each routed recipient, in microseconds; rejected ones are left out.
 
-    ``elapsed_us``: since the start of the transaction, from which BY counts (RFC 2852).
+    ``elapsed_us``: time since the start of the transaction, from which BY counts (RFC 2852).
     """
     by = message.parameters.by_s
     by_us = by * 1_000_000 if by is not None and message.parameters.is_by_return else None
--- a/honeybarrow/mail_front/protocol.py
+++ b/honeybarrow/mail_front/protocol.py
@@ -1,4 +1,4 @@
-"""The Twisted protocol of the mail fronts: SMTP and LMTP sessions whose replies tell the final result."""
+"""The Twisted protocol of the mail fronts: SMTP and LMTP sessions that reply with final results."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
 from honeybarrow.mail_front.routing import Route, UnroutableError
 from honeybarrow.ports import DelayedCall
 
-CLOSE_TIMEOUT_S = 5.0  # for the client to read the last reply
-MAX_READ_AHEAD_BYTES = 1 << 16  # of further commands, while a reply is due
+CLOSE_TIMEOUT_S = 5.0  # time for the client to read the final reply
+MAX_READ_AHEAD_BYTES = 1 << 16  # unparsed input accepted while a reply is pending
 
 
 @implementer(IHandshakeListener)
 class MailServerProtocol(Protocol):
-    """One connection of a client. Twisted calls the methods in camel case."""
+    """The connection of one client. Twisted calls the methods named in camel case."""
 
     transport: Any = None
 
@@ -59,13 +59,13 @@
         self.idle_timer: DelayedCall | None = None
         self.is_reading = True
         self.is_admitted = False
-        self.is_authenticated = False  # by certificate or account
+        self.is_authenticated = False  # with a certificate or an account
         self.pending_results: list[Deferred[DeliveryResult]] = []
         self.routes: list[Route] = []
         self.transaction_start_us = 0
 
     def connectionMade(self) -> None:
-        """Greet the client, or reject it by its address or for want of capacity."""
+        """Greet the client, or reject it if its address is not allowed or capacity is exhausted."""
         registry = self.registry
         if not registry.identity.can_connect(self.peer_address):
             registry.log.warning("connection_rejected", peer=self.peer_address, reason="address not allowed")
@@ -83,16 +83,16 @@
         self._process_events()
 
     def dataReceived(self, data: bytes) -> None:
-        """Read bytes; those of messages count against the memory that all connections share."""
+        """Process received bytes; bytes of message content count against the shared memory limit."""
         if self.is_admitted and self.session.is_in_content:
             self.registry.admission.record_bytes_read(self.registry.now_us(), self.connection_id, len(data))
         self.session.receive(data)
         self._process_events()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Withdraw what the client waited for, and release the connection's capacity."""
+        """Withdraw the client's pending messages and release the connection's capacity."""
         self._set_idle_timer(None)
-        # A client that left can't read its replies: no attempt may start for it any more (RFC 1047).
+        # The client can't read its replies any more, so no further attempt may start (RFC 1047).
         pending, self.pending_results = self.pending_results, []
         for result in pending:
             result.cancel()
@@ -101,7 +101,7 @@
             self.registry.remove(self)
 
     def handshakeCompleted(self) -> None:
-        """TLS is on: a certificate that the settings know identifies the client."""
+        """Identify the client by its TLS certificate, if it has one that the settings list."""
         certificate = self.transport.getPeerCertificate()
         if certificate is not None:
             subject = certificate.to_cryptography().subject.get_attributes_for_oid(NameOID.COMMON_NAME)
@@ -110,28 +110,31 @@
                 self._set_client(name)
 
     def _set_client(self, name: str) -> None:
-        """The client has proved which program it is."""
+        """Record that the client authenticated as the client program ``name``."""
         self.registry.log.info("client_identified", peer=self.peer_address, client=name)
         self.client_name, self.is_authenticated = name, True
         self.registry.admission.identify_session(self.registry.now_us(), self.connection_id, name)
 
     def close_when_idle(self) -> None:
-        """Close a session without a transaction; others end after theirs, when admission is closed."""
+        """Close the session unless a transaction is open.
+
+        An open transaction completes; admission control rejects the next one, which closes the session.
+        """
         if not self.session.is_in_transaction:
             self.close_with_reply(reply_for_rejection(CloseSession(0, "shutting down")))
 
     def close_with_reply(self, reply: Reply) -> None:
-        """End the session with a last reply."""
+        """Close the session with a final reply."""
         if self.session.state is not mail.State.CLOSED:
             self.session.refuse(reply)
             self._process_events()
 
     def resume_reading(self) -> None:
-        """Read again from a connection that was paused."""
+        """Resume reading from a paused connection."""
         self._set_reading(True)
 
     def _process_events(self) -> None:
-        """Handle what the session has read, write its output, and set reading and the idle timer."""
+        """Handle pending events, write the output, and update the reading state and the idle timer."""
         while (event := self.session.next_event()) is not None:
             self._handle_event(event)
         if self.transport is None:
@@ -139,7 +142,7 @@
         if out := self.session.take_output():
             self.transport.write(out)
         if self.session.state is mail.State.CLOSED:
-            # Danger: a client that stops reading would hold the connection for ever.
+            # A client that does not read would otherwise keep the connection open forever.
             self._set_idle_timer(CLOSE_TIMEOUT_S)
             self.transport.loseConnection()
             return
@@ -150,9 +153,9 @@
         self._set_idle_timer(None if self.session.is_waiting else idle_s)
 
     def _adjust_reading(self) -> None:
-        """Read on, or pause so that what the client writes stays in the kernel's buffers."""
-        # While a reply is due little is read ahead, but not nothing: a connection that isn't read does not
-        # show that the client has left.
+        """Pause or resume reading, so that excess input remains in the kernel's socket buffers."""
+        # Reading continues for a limited amount while a reply is pending, because the loss of a connection
+        # is only noticed while reading.
         is_buffer_full = self.session.is_waiting and self.session.backlog_bytes > MAX_READ_AHEAD_BYTES
         now = self.registry.now_us()
         if self.session.is_in_content and not self.registry.admission.can_read(now, self.connection_id):
@@ -162,7 +165,7 @@
             self._set_reading(not is_buffer_full)
 
     def _set_reading(self, on: bool) -> None:
-        """Resume or pause the transport, if that changes anything."""
+        """Resume or pause the transport, unless it is in that state already."""
         if on != self.is_reading and self.transport is not None:
             self.is_reading = on
             (self.transport.resumeProducing if on else self.transport.pauseProducing)()
@@ -190,7 +193,7 @@
                     self._end_transaction()
 
     def _reply_to_mail(self) -> Reply:
-        """The reply to MAIL: whether a transaction may start."""
+        """Return the reply to MAIL, which starts a transaction if it is positive."""
         required = self.factory.require
         if required != "none" and not self.session.tls and not self.factory.lmtp:
             return TLS_REQUIRED
@@ -201,7 +204,7 @@
         return SENDER_OK if isinstance(decision, Admit) else reply_for_rejection(decision)
 
     def _reply_to_rcpt(self, path: mail.Path) -> Reply:
-        """The reply to RCPT; an accepted recipient has its route stored and capacity reserved."""
+        """Return the reply to RCPT; store the route of an accepted recipient and reserve capacity for it."""
         registry = self.registry
         if self.routes and not self.factory.lmtp:
             return SINGLE_RECIPIENT_ONLY
@@ -219,12 +222,12 @@
         return RECIPIENT_OK
 
     def _on_password_checked(self, result: Any, name: str) -> None:
-        """``result``: whether the password is right, or the failure of the check."""
+        """Reply to AUTH. ``result``: whether the password is right, or the failure of the check."""
         is_valid = result is True
         if isinstance(result, Failure):
             self.registry.log.error("password_check_failed", reason=str(result.type))
         if not self.session.is_waiting:
-            return  # the client left meanwhile
+            return  # the session was closed in the meantime
         if is_valid:
             self._set_client(self.registry.identity.identify_by_account(name))
         else:
@@ -233,7 +236,7 @@
         self._process_events()
 
     def _submit_message(self, event: mail.Message) -> None:
-        """Submit a message for each recipient; replies go out in the recipients' order."""
+        """Submit a message to each recipient; replies are sent in the order of the recipients."""
         if mail.count_hops(event.content) > self.registry.front_limits.max_hops:
             self.session.answer(*[TOO_MANY_HOPS] * len(self.routes))
             self._end_transaction()
@@ -268,7 +271,7 @@
         self._send_ready_replies(batch)
 
     def _add_trace(self, event: mail.Message, message_id: str) -> bytes:
-        """The content with our trace line in front."""
+        """Return the content with this server's trace line in front."""
         session, registry = self.session, self.registry
         protocol = "LMTP" if self.factory.lmtp else "ESMTP" if session.extended else "SMTP"
         protocol += ("S" if session.tls else "") + ("A" if session.user else "")  # RFC 3848
@@ -285,7 +288,7 @@
     def _submit_for_recipient(
         self, event: mail.Message, recipient: mail.Path, submission: Submission, index: int, batch: ReplyBatch
     ) -> None:
-        """Submit the message for one recipient, the ``index``-th of its batch."""
+        """Submit the message to one recipient, at position ``index`` of its batch."""
         registry = self.registry
         registry.log.info(
             "message_received",
@@ -304,7 +307,7 @@
     def _on_final_result(
         self, final_result: DeliveryResult, index: int, batch: ReplyBatch, result: Deferred[DeliveryResult]
     ) -> None:
-        """A recipient has its final result."""
+        """Record the final result of a recipient and send the replies that are ready."""
         if result in self.pending_results:
             self.pending_results.remove(result)
         batch.replies[index] = reply_for_result(final_result)
@@ -313,7 +316,7 @@
             self._process_events()
 
     def _send_ready_replies(self, batch: ReplyBatch) -> None:
-        """Give the session the replies that are due in order."""
+        """Send the replies that are ready, in order; end the transaction after the last one."""
         if ready := batch.take_ready():
             self.session.answer(*ready)
             if batch.is_finished:
@@ -326,7 +329,7 @@
             self.registry.resume_paused()
 
     def _set_idle_timer(self, seconds: float | None) -> None:
-        """Start the timer anew; ``None``: stop it."""
+        """Restart the idle timer, or stop it if ``seconds`` is ``None``."""
         if self.idle_timer is not None and self.idle_timer.active():
             self.idle_timer.cancel()
         self.idle_timer = (
@@ -334,7 +337,7 @@
         )
 
     def _on_idle_timeout(self) -> None:
-        """Close a silent connection; abort one that does not read its last reply."""
+        """Close an idle connection; abort one that does not read its final reply."""
         if self.session.state is not mail.State.CLOSED:
             self.close_with_reply(IDLE_TIMEOUT)
         elif self.transport is not None:
@@ -342,7 +345,7 @@
 
 
 class MailServerFactory(Factory):
-    """One front: SMTP or LMTP, and what it requires of a client (``none``, ``tls``, ``auth``)."""
+    """One front: SMTP or LMTP, and the security that it requires (``none``, ``tls`` or ``auth``)."""
 
     noisy = False
 
@@ -350,5 +353,5 @@
         self.registry, self.lmtp, self.require = registry, lmtp, require
 
     def buildProtocol(self, addr: Any) -> MailServerProtocol:
-        """A protocol for a new connection."""
+        """Return the protocol for a new connection."""
         return MailServerProtocol(self, str(getattr(addr, "host", "") or "local"))
--- a/honeybarrow/mail_front/replies.py
+++ b/honeybarrow/mail_front/replies.py
@@ -1,4 +1,4 @@
-"""Replies of the mail fronts: fixed ones, one for each final result, and those of one message in order."""
+"""Replies of the mail fronts: fixed replies, replies for final results, and the replies to one message."""
 
 from __future__ import annotations
 
@@ -20,38 +20,40 @@
 
 
 def reply_for_result(result: DeliveryResult) -> Reply:
-    """The final result as a reply (``docs/mail.md``): 2xx delivered, 4xx refused, 5xx failed."""
+    """Return the reply for a final result (``docs/mail.md``): 2xx delivered, 4xx refused, 5xx failed."""
     match result:
         case Delivered():
             return Reply(250, "2.0.0", "delivered")
-        case Refused(wait_us, why):
-            return Reply(451, "4.3.2", f"refused, harmless to try again ({why})", wait_ms=-(-wait_us // 1000))
-        case Failed(why, None, within_us):
-            within = max(0, within_us or 0) // 1000
-            return Reply(554, "5.4.0", f"failed, may have taken effect ({why})", within_ms=within)
+        case Refused(wait_us, reason):
+            return Reply(
+                451, "4.3.2", f"refused, harmless to try again ({reason})", wait_ms=-(-wait_us // 1000)
+            )
+        case Failed(reason, None, within_us):
+            within_ms = max(0, within_us or 0) // 1000
+            return Reply(554, "5.4.0", f"failed, may have taken effect ({reason})", within_ms=within_ms)
         case Failed(_, reply, _):
             assert reply is not None
             return Reply(550, reply.enhanced, f"the partner refuses: {reply.code} {reply.text}")
 
 
 def reply_for_rejection(decision: Defer | CloseSession) -> Reply:
-    """The reply to a client that is not admitted now, with the time to stay away."""
-    wait = -(-decision.retry_after_us // 1000)
+    """Return the reply to a client that is not admitted, with a retry delay."""
+    wait_ms = -(-decision.retry_after_us // 1000)
     if isinstance(decision, CloseSession):
-        return Reply(421, "4.3.2", f"{decision.reason}, come back", wait_ms=wait)
-    return Reply(452, "4.3.1", f"{decision.reason}, come back", wait_ms=wait)
+        return Reply(421, "4.3.2", f"{decision.reason}, come back", wait_ms=wait_ms)
+    return Reply(452, "4.3.1", f"{decision.reason}, come back", wait_ms=wait_ms)
 
 
 class ReplyBatch:
-    """The replies for the recipients of one message, which go out in order as they become known."""
+    """The replies for the recipients of one message, sent in the order of the recipients."""
 
     def __init__(self, count: int) -> None:
         self.replies: list[Reply | None] = [None] * count
         self.sent_count = 0
-        self.is_submitted = False  # every recipient has been submitted; replies may go out
+        self.is_submitted = False  # whether all recipients are submitted; no reply is ready before
 
     def take_ready(self) -> list[Reply]:
-        """The replies that may go out now: up to the first that is not known; each is given once."""
+        """Return the replies that are ready to be sent, up to the first unknown one; each only once."""
         ready: list[Reply] = []
         while self.is_submitted and self.sent_count < len(self.replies):
             reply = self.replies[self.sent_count]
@@ -63,5 +65,5 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether every reply has gone out."""
+        """Whether every reply has been sent."""
         return self.sent_count == len(self.replies)
--- a/honeybarrow/mail_front/routing.py
+++ b/honeybarrow/mail_front/routing.py
@@ -1,6 +1,7 @@
-"""Routing: class, destination and properties of a message, read from its envelope and header by rules.
+"""Routing: the class, destination and properties of a message, read from its envelope and header by rules.
 
-Nothing is guessed: what the rules can't place raises :class:`UnroutableError` with the reply for the client.
+There are no defaults: a message that the rules can't route raises :class:`UnroutableError`, which carries the
+reply for the client.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingRules:
-    """The source of each property; its forms are listed at ``routing`` in ``honeybarrow.config.schema``."""
+    """The source of each property. The forms of a source are listed in ``honeybarrow.config.schema``."""
 
     message_class_source: str
     destination_source: str
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """The message class and the destination's number of a recipient."""
+    """The message class of a recipient, and the number of its destination."""
 
     path: Path
     class_name: str
@@ -58,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageProperties:
-    """What is read from the header and the sender. ``order_key``: its hash, ``None`` without one."""
+    """The properties of a message. ``order_key`` is the hash of the key, or ``None`` if there is none."""
 
     tenant: str
     order_key: int | None
@@ -67,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutedMessage:
-    """A message for one recipient: where it goes and what it is."""
+    """A message as routed for one recipient."""
 
     route: Route
     properties: MessageProperties
@@ -76,8 +77,8 @@
 class MessageRouter:
     """Applies the routing rules.
 
-    ``deadlines_us``: by the names of the message classes. ``find_partner`` gives a partner's number by its
-    name, ``has_partner_list`` whether any list of partners has come.
+    ``deadlines_us`` maps each message class to its deadline. ``find_partner`` returns the number of a partner
+    by name, and ``has_partner_list`` whether a list of partners has been received.
     """
 
     def __init__(
@@ -93,37 +94,37 @@
         self.has_partner_list = has_partner_list
 
     def route(self, recipient: Path) -> Route:
-        """The class and destination of a recipient. Raises :class:`UnroutableError`."""
-        number = self.find_partner(
+        """Return the class and destination of a recipient. Raises :class:`UnroutableError`."""
+        destination = self.find_partner(
             (read_source(self.rules.destination_source, recipient, recipient, b"") or "").lower()
         )
-        if number is None:
-            # Danger: a 550 before the first list would have clients give up what can be delivered.
+        if destination is None:
+            # A permanent reply before the first list would make clients discard deliverable messages.
             raise UnroutableError(UNKNOWN_PARTNER if self.has_partner_list() else PARTNER_LIST_UNAVAILABLE)
-        name = (read_source(self.rules.message_class_source, recipient, recipient, b"") or "").lower()
-        if name not in self.deadlines_us:
+        class_name = (read_source(self.rules.message_class_source, recipient, recipient, b"") or "").lower()
+        if class_name not in self.deadlines_us:
             raise UnroutableError(UNKNOWN_CLASS)
-        return Route(recipient, name, number)
+        return Route(recipient, class_name, destination)
 
     def read_properties(self, route: Route, sender: Path, content: bytes) -> MessageProperties:
-        """Tenant, key and time left. Raises :class:`UnroutableError`."""
+        """Return tenant, order key and time left of a message. Raises :class:`UnroutableError`."""
         rules = self.rules
         tenant = read_source(rules.tenant_source, sender, route.path, content) or ""
         if rules.is_tenant_required and not tenant:
             raise UnroutableError(TENANT_MISSING)
-        text = read_source(rules.order_key_source, sender, route.path, content)
-        if route.class_name in self.ordered_classes and rules.is_order_key_required and not text:
+        order_key = read_source(rules.order_key_source, sender, route.path, content)
+        if route.class_name in self.ordered_classes and rules.is_order_key_required and not order_key:
             raise UnroutableError(ORDER_KEY_MISSING)
-        time_left: int | None = None
+        time_left_us: int | None = None
         if milliseconds := read_source(rules.time_left_ms_source, sender, route.path, content):
             if not milliseconds.isdigit() or len(milliseconds) > 9:
                 raise UnroutableError(INVALID_TIME_LEFT)
-            time_left = int(milliseconds) * 1000
-        return MessageProperties(tenant, hash_order_key(text) if text else None, time_left)
+            time_left_us = int(milliseconds) * 1000
+        return MessageProperties(tenant, hash_order_key(order_key) if order_key else None, time_left_us)
 
 
 def read_source(source: str, sender: Path, recipient: Path, content: bytes) -> str | None:
-    """The value at a source; ``None`` if the source is empty or the message lacks the field."""
+    """Return the value of a source, or ``None`` if the source is empty or the message lacks the field."""
     kind, _, part = source.partition(".")
     if kind in ("recipient", "sender") and part:
         path = recipient if kind == "recipient" else sender
--- a/honeybarrow/mail_front/submission.py
+++ b/honeybarrow/mail_front/submission.py
@@ -1,7 +1,7 @@
-"""Submission of messages by the mail fronts, and the delivery of final results to the clients that wait.
+"""Submission of messages by the mail fronts, and the delivery of final results to the waiting clients.
 
-Admission and the detection of duplicates are decided in ``honeybarrow.admission``; this module keeps which
-client waits for the result of which message.
+``honeybarrow.admission`` decides on admission and duplicates; this module tracks which client waits for the
+result of which message.
 """
 
 from __future__ import annotations
@@ -37,25 +37,26 @@
 
 @dataclass(slots=True, eq=False)
 class _ResultWaiter:
-    """One submission whose client waits for a final result."""
+    """A submission whose client waits for the final result."""
 
     result: Deferred[DeliveryResult]
     deadline_us: int
-    message: str = ""  # the message in the core whose result it waits for
+    message: str = ""  # id of the submitted message whose result is awaited
 
 
 @dataclass(slots=True)
 class _OpenMessage:
-    """One message in the core, and all who wait for its result."""
+    """A message submitted to the forwarder, and the submissions that wait for its result."""
 
     result: Deferred[DeliveryResult]
     waiters: list[_ResultWaiter] = field(default_factory=list)
 
 
 class MailSubmissionService:
-    """Submits messages of all fronts of a forwarder to its core.
+    """Submits the messages of all mail fronts to the forwarder.
 
-    Bounded by the admission control: an open message is an admitted one, a waiter is a client's transaction.
+    Admission control bounds its size: each open message is admitted, and each waiter belongs to a client's
+    transaction.
     """
 
     def __init__(
@@ -78,9 +79,10 @@
     def submit(
         self, connection_id: int, duplicate_key: str, submission: Submission
     ) -> Deferred[DeliveryResult]:
-        """Submit a message; fires with its final result. To be cancelled when its client has left.
+        """Submit a message; the returned deferred fires with its final result.
 
-        ``duplicate_key``: what it has in common with other submissions of the same message, or empty.
+        Cancel the deferred when the client disconnects. ``duplicate_key`` identifies submissions of the same
+        message; if it is empty, duplicates are not detected.
         """
         waiter: _ResultWaiter
         result: Deferred[DeliveryResult] = Deferred(lambda _: self._on_client_left(waiter))
@@ -91,15 +93,15 @@
     def _check_duplicate(
         self, connection_id: int, duplicate_key: str, submission: Submission, waiter: _ResultWaiter
     ) -> None:
-        """Admit a new message; for a duplicate wait for, or repeat, the result of the first one."""
+        """Submit a new message; for a duplicate, await or repeat the result of the first submission."""
         now = self.now_us()
         decision = self.duplicates.check_submission(now, duplicate_key) if duplicate_key else AcceptAsNew()
         match decision:
-            case AcceptAsNew(left_us):
-                left = waiter.deadline_us - now
-                left = left if left_us is None else min(left, left_us)
+            case AcceptAsNew(max_time_left_us):
+                left_us = waiter.deadline_us - now
+                left_us = left_us if max_time_left_us is None else min(left_us, max_time_left_us)
                 self._admit_new_message(
-                    connection_id, duplicate_key, replace(submission, time_left_us=left), waiter
+                    connection_id, duplicate_key, replace(submission, time_left_us=left_us), waiter
                 )
             case JoinMessage(message):
                 self.log.info("duplicate_joined", message=submission.message, first=message)
@@ -116,14 +118,14 @@
                         else self._check_duplicate(connection_id, duplicate_key, submission, waiter)
                     )
                 )
-            case RepeatResult(delivered):
-                self.log.info("duplicate_answered", message=submission.message, delivered=delivered)
-                waiter.result.callback(Delivered() if delivered else Failed("handed in before, in doubt"))
+            case RepeatResult(is_delivered):
+                self.log.info("duplicate_answered", message=submission.message, delivered=is_delivered)
+                waiter.result.callback(Delivered() if is_delivered else Failed("handed in before, in doubt"))
 
     def _admit_new_message(
         self, connection_id: int, duplicate_key: str, submission: Submission, waiter: _ResultWaiter
     ) -> None:
-        """Submit a message to the core, if the admission control has room for it."""
+        """Submit a message to the forwarder if admission control admits it, else refuse it."""
         now, message = self.now_us(), submission.message
         decision = self.admission.admit_message(now, connection_id, message, submission.tenant)
         if not isinstance(decision, Admit):
@@ -150,7 +152,7 @@
         open_message.result.addErrback(ignore_cancelled)
 
     def _start_wait_timer(self, waiter: _ResultWaiter) -> None:
-        """A duplicate has a deadline of its own, perhaps a shorter one than the first submission's."""
+        """Start the timer for a duplicate's own deadline, which may precede that of the first submission."""
         delay_s = max(0, waiter.deadline_us - self.now_us()) / 1e6
         timer = self.clock.callLater(delay_s, self._on_wait_timeout, waiter)
 
@@ -162,13 +164,13 @@
         waiter.result.addBoth(cancel_timer)
 
     def _on_wait_timeout(self, waiter: _ResultWaiter) -> None:
-        """The deadline of a duplicate has passed before the first submission had a result."""
+        """Fail a duplicate whose deadline has passed before the first submission had a result."""
         if not waiter.result.called:
             self._remove_waiter(waiter)
             waiter.result.callback(Failed("its first hand-in has no answer yet"))
 
     def _on_final_result(self, result: DeliveryResult, message: str) -> None:
-        """The core has completed a message: release its capacity and complete all who wait."""
+        """Release the capacity of a completed message and give its result to all waiters."""
         now = self.now_us()
         self.admission.release_message(now, message)
         match result:
@@ -185,7 +187,7 @@
                 waiter.result.callback(result)
 
     def _on_client_left(self, waiter: _ResultWaiter) -> None:
-        """A client left before its result; with the last client that waits the message is withdrawn."""
+        """Remove the waiter of a client that disconnected; withdraw the message if no other waits for it."""
         open_message = self._remove_waiter(waiter)
         if open_message is not None and not open_message.waiters:
             open_message.result.cancel()
@@ -198,7 +200,7 @@
         return open_message
 
     def _on_withdrawn(self, message: str, attempts_in_flight: int, is_ambiguous: bool) -> None:
-        """The core has withdrawn a message; ``attempts_in_flight`` of its attempts go on."""
+        """Record that the forwarder withdrew a message; ``attempts_in_flight`` of its attempts continue."""
         now = self.now_us()
         if self._open_messages.pop(message, None) is None:
             return
@@ -211,7 +213,7 @@
         self.duplicates.record_event(now, message, event)
 
     def _on_last_attempt_finished(self, message: str, outcome: AttemptOutcome, is_ambiguous: bool) -> None:
-        """The last attempt of a withdrawn message has finished: duplicates that waited are decided again."""
+        """Record the end of the last attempt of a withdrawn message, and recheck its deferred duplicates."""
         now = self.now_us()
         if outcome.status is AttemptStatus.OK:
             self.duplicates.record_event(now, message, MessageEvent.DELIVERED)
