--- a/tests/test_duplicate_detection.py
+++ b/tests/test_duplicate_detection.py
@@ -1,4 +1,4 @@
-"""What a message that is submitted again meets, as closely as the policy's decisions."""
+"""Tests of duplicate detection: the decision on a message that is submitted again."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 from honeybarrow.admission.fair_share import SECOND_US
 from honeybarrow.settings import Idempotency
 
-WINDOW = 5 * SECOND_US
+WINDOW_US = 5 * SECOND_US
+# Events of the first submission, and the decision by idempotency: idempotent, with key, non-idempotent.
 ROWS: list[tuple[tuple[MessageEvent, ...], Any, Any, Any]] = [
     ((), JoinMessage("m"), JoinMessage("m"), JoinMessage("m")),
     ((MessageEvent.WITHDRAWN,), AcceptAsNew(), AcceptAsNew(), AcceptAsNew()),
@@ -39,25 +40,25 @@
     (
         (MessageEvent.WITHDRAWN_IN_FLIGHT, MessageEvent.ATTEMPT_AMBIGUOUS),
         AcceptAsNew(),
-        AcceptAsNew(WINDOW - SECOND_US),
+        AcceptAsNew(WINDOW_US - SECOND_US),
         RepeatResult(False),
     ),
     (
         (MessageEvent.WITHDRAWN_AMBIGUOUS,),
         AcceptAsNew(),
-        AcceptAsNew(WINDOW - SECOND_US),
+        AcceptAsNew(WINDOW_US - SECOND_US),
         RepeatResult(False),
     ),
     ((MessageEvent.DELIVERED,), RepeatResult(True), RepeatResult(True), RepeatResult(True)),
     ((MessageEvent.REFUSED,), AcceptAsNew(), AcceptAsNew(), AcceptAsNew()),
     ((MessageEvent.REJECTED,), AcceptAsNew(), AcceptAsNew(), AcceptAsNew()),
-    ((MessageEvent.FAILED,), AcceptAsNew(), AcceptAsNew(WINDOW - SECOND_US), RepeatResult(False)),
+    ((MessageEvent.FAILED,), AcceptAsNew(), AcceptAsNew(WINDOW_US - SECOND_US), RepeatResult(False)),
     (
         (MessageEvent.DELIVERED, MessageEvent.FAILED),
         RepeatResult(True),
         RepeatResult(True),
         RepeatResult(True),
-    ),  # what comes late changes nothing
+    ),
 ]
 
 
@@ -65,35 +66,35 @@
     "row", ROWS, ids=[", then ".join(event.value for event in row[0]) or "open" for row in ROWS]
 )
 def test_decision_on_a_duplicate(row: Any) -> None:
-    events, *wanted = row
-    for effect, decision in zip(
+    events, *expected = row
+    for idempotency, decision in zip(
         (Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENT_WITH_KEY, Idempotency.NON_IDEMPOTENT),
-        wanted,
+        expected,
         strict=True,
     ):
         detector = DuplicateDetector()
         assert detector.check_submission(0, "k") == AcceptAsNew()
-        detector.record_accepted(0, "k", "m", effect, WINDOW)
+        detector.record_accepted(0, "k", "m", idempotency, WINDOW_US)
         for event in events:
             detector.record_event(SECOND_US // 2, "m", event)
-        assert detector.check_submission(SECOND_US, "k") == decision, effect
+        assert detector.check_submission(SECOND_US, "k") == decision, idempotency
         assert detector.check_submission(SECOND_US, "another") == AcceptAsNew()
 
 
-def test_a_message_with_a_key_is_another_one_once_its_window_is_over() -> None:
+def test_message_with_key_is_new_after_its_window() -> None:
     detector = DuplicateDetector()
-    detector.record_accepted(0, "k", "m", Idempotency.IDEMPOTENT_WITH_KEY, WINDOW)
+    detector.record_accepted(0, "k", "m", Idempotency.IDEMPOTENT_WITH_KEY, WINDOW_US)
     detector.record_event(SECOND_US, "m", MessageEvent.FAILED, retry_within_us=2 * SECOND_US)
     assert detector.check_submission(2 * SECOND_US, "k") == AcceptAsNew(SECOND_US)
     assert detector.check_submission(3 * SECOND_US, "k") == AcceptAsNew()
-    detector.record_accepted(3 * SECOND_US, "k", "m2", Idempotency.IDEMPOTENT_WITH_KEY, WINDOW)
+    detector.record_accepted(3 * SECOND_US, "k", "m2", Idempotency.IDEMPOTENT_WITH_KEY, WINDOW_US)
     assert detector.check_submission(3 * SECOND_US, "k") == JoinMessage("m2")
-    # a late event of the first one is none of the second one's
+    # A late event of the first message does not affect the second one.
     detector.record_event(4 * SECOND_US, "m", MessageEvent.DELIVERED)
     assert detector.check_submission(4 * SECOND_US, "k") == JoinMessage("m2")
 
 
-def test_what_is_remembered_is_bounded_in_number_and_age() -> None:
+def test_remembered_messages_are_bounded_in_number_and_age() -> None:
     detector = DuplicateDetector(max_entries=100, max_age_us=10 * SECOND_US)
     for number in range(1000):
         key = f"k{number}"
@@ -102,7 +103,7 @@
         if number % 50:
             detector.record_event(number, f"m{number}", MessageEvent.FAILED)
     assert len(detector) <= 102
-    assert detector.check_submission(1000, "k950") == JoinMessage("m950")  # what is open is not forgotten
+    assert detector.check_submission(1000, "k950") == JoinMessage("m950")  # open messages are kept
     assert detector.check_submission(1000, "k999") == RepeatResult(False)
     for _ in range(40):
         assert detector.check_submission(12 * SECOND_US, "k999") in (RepeatResult(False), AcceptAsNew())
@@ -110,13 +111,13 @@
     assert len(detector) == len(detector._key_by_message) <= 21
 
 
-def test_every_event_of_the_table_is_used_and_no_other_changes_a_state() -> None:
+def test_states_change_only_by_the_transition_table() -> None:
     events = {event for _, event in TRANSITIONS}
     assert events == set(MessageEvent)
-    for phase in MessageState:
+    for state in MessageState:
         for event in events:
             detector = DuplicateDetector()
             detector.record_accepted(0, "k", "m", Idempotency.NON_IDEMPOTENT, 0)
-            detector._by_key["k"].state = phase
+            detector._by_key["k"].state = state
             detector.record_event(1, "m", event)
-            assert detector._by_key["k"].state is TRANSITIONS.get((phase, event), phase)
+            assert detector._by_key["k"].state is TRANSITIONS.get((state, event), state)
--- a/tests/test_mail.py
+++ b/tests/test_mail.py
@@ -1,4 +1,4 @@
-"""The grammar and the session machines of SMTP and LMTP, without sockets."""
+"""Tests of the grammar and the protocol state machines of SMTP and LMTP, without sockets."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 )
 
 
-class Peer:
-    """A server session whose events are answered with yes, in pieces as asked."""
+class AcceptingServer:
+    """A server session that accepts every command and replies to messages with ``final``."""
 
     def __init__(self, lmtp: bool = False, final: Reply = OK) -> None:
         self.session = ServerSession("front.example", lmtp, LIMITS)
@@ -34,9 +34,9 @@
         self.events: list[Any] = []
         self.out = b""
         self.session.greet()
-        self.work()
+        self.process_events()
 
-    def work(self) -> None:
+    def process_events(self) -> None:
         while (event := self.session.next_event()) is not None:
             self.events.append(event)
             if isinstance(event, mail.Message):
@@ -46,11 +46,11 @@
         self.out += self.session.take_output()
 
     def feed(self, data: bytes, piece: int = 0) -> list[int]:
-        """Feed bytes, whole or in pieces; the codes of the replies that came of it."""
+        """Feed bytes, whole or in pieces of ``piece`` bytes, and return the codes of the replies."""
         before = len(self.out)
         for at in range(0, len(data), piece or len(data) or 1):
             self.session.receive(data[at : at + (piece or len(data))])
-            self.work()
+            self.process_events()
         lines = self.out[before:].split(b"\r\n")
         return [int(line[:3]) for line in lines if line[3:4] == b" "]
 
@@ -58,25 +58,25 @@
         return [event for event in self.events if isinstance(event, mail.Message)]
 
 
-def talk(*parts: bytes, lmtp: bool = False, piece: int = 0) -> tuple[Peer, list[int]]:
-    """Feed parts one after another, each after the replies to the last."""
-    peer = Peer(lmtp)
+def run_session(*parts: bytes, lmtp: bool = False, piece: int = 0) -> tuple[AcceptingServer, list[int]]:
+    """Feed each part after the replies to the previous one; return the server and all reply codes."""
+    server = AcceptingServer(lmtp)
     codes: list[int] = []
     for part in parts:
-        codes += peer.feed(part, piece)
-    return peer, codes
+        codes += server.feed(part, piece)
+    return server, codes
 
 
 HELLO, ENVELOPE = b"EHLO c.example\r\n", b"MAIL FROM:<a@b.example>\r\nRCPT TO:<x@y.example>\r\n"
 
 
 @pytest.mark.parametrize("piece", [0, 1, 7])
-def test_a_message_arrives_whole_however_it_is_split(piece: int) -> None:
+def test_message_is_received_whole_for_any_split_of_the_input(piece: int) -> None:
     body = b"Subject: x\r\n\r\n.. dots\r\n...\r\nend\r\n"
-    peer, codes = talk(HELLO, ENVELOPE + b"DATA\r\n", body + b".\r\nQUIT\r\n", piece=piece)
+    server, codes = run_session(HELLO, ENVELOPE + b"DATA\r\n", body + b".\r\nQUIT\r\n", piece=piece)
     assert codes == [250, 250, 250, 354, 250, 221]
-    assert peer.messages()[0].content == b"Subject: x\r\n\r\n. dots\r\n..\r\nend\r\n"
-    assert peer.session.state is State.CLOSED
+    assert server.messages()[0].content == b"Subject: x\r\n\r\n. dots\r\n..\r\nend\r\n"
+    assert server.session.state is State.CLOSED
 
 
 BAD_COMMANDS = [
@@ -95,18 +95,18 @@
     ("bad domain", b"MAIL FROM:<a@-b>\r\n", 501),
     ("long local part", b"MAIL FROM:<" + b"a" * 65 + b"@b.example>\r\n", 501),
     ("unknown parameter", b"MAIL FROM:<a@b.example> FOO=1\r\n", 555),
-    ("size no number", b"MAIL FROM:<a@b.example> SIZE=x\r\n", 501),
+    ("size is not a number", b"MAIL FROM:<a@b.example> SIZE=x\r\n", 501),
     ("size twice", b"MAIL FROM:<a@b.example> SIZE=1 SIZE=2\r\n", 501),
     ("size over the limit", b"MAIL FROM:<a@b.example> SIZE=2001\r\n", 552),
-    ("no time to return in", b"MAIL FROM:<a@b.example> BY=0;R\r\n", 501),
+    ("time limit of zero", b"MAIL FROM:<a@b.example> BY=0;R\r\n", 501),
     ("recipient without domain", b"MAIL FROM:<a@b.example>\r\nRCPT TO:<>\r\n", 501),
 ]
 
 
 @pytest.mark.parametrize(("name", "line", "code"), BAD_COMMANDS, ids=[row[0] for row in BAD_COMMANDS])
-def test_bad_commands_have_a_named_reply_and_the_session_goes_on(name: str, line: bytes, code: int) -> None:
+def test_invalid_command_is_rejected_and_session_continues(name: str, line: bytes, code: int) -> None:
     for piece in (0, 1):
-        peer, codes = talk(HELLO, line, b"NOOP\r\n", piece=piece)
+        server, codes = run_session(HELLO, line, b"NOOP\r\n", piece=piece)
         assert codes[-2:] == [code, 250], name
 
 
@@ -124,44 +124,42 @@
 
 
 @pytest.mark.parametrize(("name", "data", "code"), BAD_CONTENT, ids=[row[0] for row in BAD_CONTENT])
-def test_bad_content_is_refused_whole_and_nothing_of_it_is_a_command(
-    name: str, data: bytes, code: int
-) -> None:
+def test_invalid_content_is_rejected_and_not_parsed_as_commands(name: str, data: bytes, code: int) -> None:
     for piece in (0, 1, 5):
-        peer, codes = talk(HELLO, ENVELOPE + b"DATA\r\n", data, b"NOOP\r\n", piece=piece)
+        server, codes = run_session(HELLO, ENVELOPE + b"DATA\r\n", data, b"NOOP\r\n", piece=piece)
         assert codes[3:] == [354, code, 250], name
-        assert peer.messages() == []
-        assert sum(isinstance(event, mail.Sender) for event in peer.events) == 1
+        assert server.messages() == []
+        assert sum(isinstance(event, mail.Sender) for event in server.events) == 1
 
 
 def test_endless_data_keeps_memory_bounded() -> None:
-    peer, _ = talk(HELLO, ENVELOPE + b"DATA\r\n")
+    server, _ = run_session(HELLO, ENVELOPE + b"DATA\r\n")
     for _ in range(2000):
-        peer.feed(b"y" * 1000 + b"\r\n")
-        assert len(peer.session._content) <= LIMITS.max_message_bytes + 2000
-    assert peer.feed(b"\r\n.\r\n") == [552]
+        server.feed(b"y" * 1000 + b"\r\n")
+        assert len(server.session._content) <= LIMITS.max_message_bytes + 2000
+    assert server.feed(b"\r\n.\r\n") == [552]
 
 
 @pytest.mark.parametrize("data", [ENVELOPE + b"DATA\r\nSubject: x\r\n", b"EHLO again\r\nMAIL FROM:<a@b>\r\n"])
-def test_bytes_sent_before_the_reply_they_must_wait_for_end_the_session(data: bytes) -> None:
-    peer, codes = talk(HELLO, data)
+def test_bytes_sent_before_a_required_reply_end_the_session(data: bytes) -> None:
+    server, codes = run_session(HELLO, data)
     assert codes[-1] == 503
-    assert peer.session.state is State.CLOSED
+    assert server.session.state is State.CLOSED
 
 
-def test_too_many_errors_and_too_many_recipients() -> None:
-    peer, codes = talk(HELLO, b"FROB\r\n" * 9)
+def test_errors_and_recipients_are_limited() -> None:
+    server, codes = run_session(HELLO, b"FROB\r\n" * 9)
     assert codes == [250, 500, 500, 500, 500, 421]
-    _, codes = talk(HELLO, b"MAIL FROM:<>\r\n" + b"RCPT TO:<x@y.example>\r\n" * 4)
+    _, codes = run_session(HELLO, b"MAIL FROM:<>\r\n" + b"RCPT TO:<x@y.example>\r\n" * 4)
     assert codes == [250, 250, 250, 250, 250, 452]
 
 
-def test_lmtp_replies_for_each_recipient_in_order_as_results_come() -> None:
-    peer = Peer(lmtp=True)
-    assert peer.feed(b"EHLO c\r\n") == [500]
-    peer.feed(b"LHLO c\r\n")
-    peer.feed(b"MAIL FROM:<>\r\nRCPT TO:<a@y.example>\r\nRCPT TO:<b@y.example>\r\nDATA\r\n")
-    session = peer.session
+def test_lmtp_sends_a_reply_for_each_recipient_in_order() -> None:
+    server = AcceptingServer(lmtp=True)
+    assert server.feed(b"EHLO c\r\n") == [500]
+    server.feed(b"LHLO c\r\n")
+    server.feed(b"MAIL FROM:<>\r\nRCPT TO:<a@y.example>\r\nRCPT TO:<b@y.example>\r\nDATA\r\n")
+    session = server.session
     session.receive(b"x\r\n.\r\nNOOP\r\n")
     assert isinstance(session.next_event(), mail.Message)
     session.answer(Reply(250, "2.0.0", "first"))
@@ -176,20 +174,22 @@
 @settings(max_examples=150, deadline=None)
 @given(st.lists(st.binary(max_size=60), max_size=30), st.booleans())
 def test_no_bytes_make_the_server_raise(parts: list[bytes], lmtp: bool) -> None:
-    peer = Peer(lmtp)
+    server = AcceptingServer(lmtp)
     words = [b"EHLO x\r\n", b"LHLO x\r\n", ENVELOPE, b"DATA\r\n", b"\r\n.\r\n", b"."]
     for i, part in enumerate(parts):
-        peer.feed(words[(len(part) + i) % len(words)])
-        peer.feed(part)
-        assert len(peer.session._in) <= LIMITS.max_buffered_bytes
-    assert peer.out.endswith(b"\r\n")
-    assert all(line[:3].isdigit() for line in peer.out.split(b"\r\n")[:-1])
+        server.feed(words[(len(part) + i) % len(words)])
+        server.feed(part)
+        assert len(server.session._in) <= LIMITS.max_buffered_bytes
+    assert server.out.endswith(b"\r\n")
+    assert all(line[:3].isdigit() for line in server.out.split(b"\r\n")[:-1])
 
 
-def join(client: mail.ClientSession, peer: Peer, pieces: random.Random | None = None) -> list[Any]:
-    """Let both sides talk until neither has more to say; the client's events."""
+def exchange(
+    client: mail.ClientSession, server: AcceptingServer, pieces: random.Random | None = None
+) -> list[Any]:
+    """Exchange bytes between both sides until neither has any left; return the client's events."""
     events: list[Any] = []
-    fresh, peer.out = peer.out, b""
+    fresh, server.out = server.out, b""
     while True:
         size = pieces.randint(1, 9) if pieces else len(fresh) or 1
         for at in range(0, len(fresh), size):
@@ -197,8 +197,8 @@
         out = client.take_output()
         if not out:
             return events
-        peer.feed(out, pieces.randint(1, 9) if pieces else 0)
-        fresh, peer.out = peer.out, b""
+        server.feed(out, pieces.randint(1, 9) if pieces else 0)
+        fresh, server.out = server.out, b""
 
 
 @settings(max_examples=60, deadline=None)
@@ -209,23 +209,23 @@
 def test_content_passes_through_both_machines_unchanged(lines: list[str], seed: int) -> None:
     content = "".join(line + "\r\n" for line in ["." + line for line in lines] + lines).encode()
     for lmtp in (False, True):
-        peer, client = Peer(lmtp), mail.ClientSession("c.example", lmtp)
+        server, client = AcceptingServer(lmtp), mail.ClientSession("c.example", lmtp)
         pieces = random.Random(seed)
-        assert [type(event) for event in join(client, peer, pieces)] == [mail.Ready]
+        assert [type(event) for event in exchange(client, server, pieces)] == [mail.Ready]
         client.send(Path("a", "b.example"), Path("x", "y.example"), content, 7)
-        (answered,) = join(client, peer, pieces)
+        (answered,) = exchange(client, server, pieces)
         assert answered.phase is Phase.FINAL and answered.reply.code == 250
-        assert peer.messages()[0].content == content
-        assert peer.messages()[0].parameters.by_s == 7
+        assert server.messages()[0].content == content
+        assert server.messages()[0].parameters.by_s == 7
         assert client.phase is Phase.IDLE
 
 
-def one(events: list[Any]) -> Any:
+def get_only_event(events: list[Any]) -> Any:
     (event,) = events
     return event
 
 
-def ready(*extensions: str) -> mail.ClientSession:
+def make_idle_client(*extensions: str) -> mail.ClientSession:
     client = mail.ClientSession("c.example")
     client.receive(b"220 hi\r\n")
     client.receive(Reply(250, "", "hi", lines=extensions).encode())
@@ -233,8 +233,8 @@
     return client
 
 
-def test_the_client_is_committed_only_once_the_end_of_data_is_written() -> None:
-    client = ready()
+def test_client_is_committed_once_end_of_data_is_written() -> None:
+    client = make_idle_client()
     client.send(Path("a", "b.example"), Path("x", "y.example"), b"hello\r\n")
     assert client.take_output() == b"MAIL FROM:<a@b.example>\r\n"
     client.receive(b"250 ok\r\n")
@@ -245,29 +245,29 @@
     assert client.is_committed and client.take_output() == b"hello\r\n.\r\n"
 
 
-def test_a_refused_recipient_ends_the_transaction_and_the_session_goes_on() -> None:
-    client = ready("PIPELINING", "XADVICE")
+def test_rejected_recipient_ends_transaction_and_session_continues() -> None:
+    client = make_idle_client("PIPELINING", "XADVICE")
     client.send(Path("a", "b.example"), Path("x", "y.example"), b"hello\r\n")
     assert client.take_output().count(b"\r\n") == 3
     assert client.receive(b"250 ok\r\n451 4.3.2 [wait=700 load=0,12.5] full\r\n") == []
-    answered = one(client.receive(b"503 5.5.1 no\r\n"))
+    answered = get_only_event(client.receive(b"503 5.5.1 no\r\n"))
     assert (answered.phase, answered.reply.wait_ms, answered.reply.load) == (Phase.RCPT, 700, (0.0, 12.5))
     assert answered.reply.is_capacity_refusal and not client.is_committed
     assert client.take_output() == b"RSET\r\n"
     assert client.receive(b"250 ok\r\n") == [mail.ResetDone()] and client.phase is Phase.IDLE
 
 
-def test_a_server_that_requests_data_it_refused_is_disconnected() -> None:
-    client = ready("PIPELINING")
+def test_client_disconnects_if_server_accepts_data_without_recipients() -> None:
+    client = make_idle_client("PIPELINING")
     client.send(Path("a", "b.example"), Path("x", "y.example"), b"hello\r\n")
-    answered = one(client.receive(b"250 ok\r\n550 5.1.1 no\r\n354 go\r\n"))
+    answered = get_only_event(client.receive(b"250 ok\r\n550 5.1.1 no\r\n354 go\r\n"))
     assert answered.reply.is_permanent and not client.is_committed and not client.is_open
 
 
-def test_advice_is_read_only_where_it_was_announced() -> None:
-    client = ready()
+def test_advice_is_ignored_without_the_extension() -> None:
+    client = make_idle_client()
     client.send(Path("a", "b.example"), Path("x", "y.example"), b"hello\r\n")
-    answered = one(client.receive(b"451 4.3.0 [wait=700] no\r\n"))
+    answered = get_only_event(client.receive(b"451 4.3.0 [wait=700] no\r\n"))
     assert answered.reply.wait_ms == 0 and not answered.reply.is_capacity_refusal
 
 
@@ -283,16 +283,16 @@
 
 
 @pytest.mark.parametrize("data", [*BAD_REPLIES, b"250-x\r\n" * 200, b"250 " + b"x" * 5000])
-def test_a_server_that_breaks_the_grammar_is_disconnected(data: bytes) -> None:
-    client = ready()
+def test_client_disconnects_after_invalid_reply(data: bytes) -> None:
+    client = make_idle_client()
     client.send(Path("a", "b.example"), Path("x", "y.example"), b"hello\r\n")
     events = client.receive(data)
     assert [type(event) for event in events] == [mail.ProtocolBroken] and not client.is_open
 
 
-def test_unsolicited_replies_between_transactions_end_the_session() -> None:
-    assert [type(event) for event in ready().receive(b"421 4.3.2 bye\r\n")] == [mail.ServerClosing]
-    assert [type(event) for event in ready().receive(b"250 what\r\n")] == [mail.ProtocolBroken]
+def test_unsolicited_reply_ends_idle_session() -> None:
+    assert [type(event) for event in make_idle_client().receive(b"421 4.3.2 bye\r\n")] == [mail.ServerClosing]
+    assert [type(event) for event in make_idle_client().receive(b"250 what\r\n")] == [mail.ProtocolBroken]
 
 
 @settings(max_examples=150, deadline=None)
@@ -318,17 +318,17 @@
         ("TO:<a@[127.0.0.1]>", Path("a", "[127.0.0.1]")),
     ],
 )
-def test_paths(text: str, path: Path) -> None:
+def test_paths_are_parsed(text: str, path: Path) -> None:
     assert read_path(text, "TO:", SYNTAX_ERROR)[0] == path
 
 
-def test_reply_text_of_a_partner_can_not_become_protocol_lines() -> None:
+def test_reply_text_can_not_inject_protocol_lines() -> None:
     assert Reply(550, "5.0.0", "a\r\n250 ok").encode() == b"550 5.0.0 a??250 ok\r\n"
     with pytest.raises(InvalidReplyError):
         mail.ReplyReader().feed(b"250 a\rb")
 
 
-def test_headers() -> None:
+def test_header_fields_and_trace_line() -> None:
     content = (
         b"Subject: a\r\n b\r\nX-Order-Key:  k 1 \r\nReceived: x\r\nreceived: y\r\n\r\nX-Tenant: body\r\n"
     )
@@ -345,12 +345,12 @@
 
 
 @pytest.mark.parametrize("piece", [0, 1, 6])
-def test_a_message_in_chunks(piece: int) -> None:
+def test_message_is_received_in_chunks(piece: int) -> None:
     first, second = CHUNK[:9], CHUNK[9:]
     parts = b"BDAT 9\r\n" + first + b"NOOP\r\n" + b"BDAT %d LAST\r\n" % len(second) + second + b"QUIT\r\n"
-    peer, codes = talk(HELLO, ENVELOPE + parts, piece=piece)
+    server, codes = run_session(HELLO, ENVELOPE + parts, piece=piece)
     assert codes == [250, 250, 250, 250, 250, 250, 221]
-    assert peer.messages()[0].content == CHUNK
+    assert server.messages()[0].content == CHUNK
 
 
 CHUNK_ROWS = [
@@ -364,23 +364,23 @@
 
 
 @pytest.mark.parametrize(("name", "data", "codes"), CHUNK_ROWS, ids=[row[0] for row in CHUNK_ROWS])
-def test_chunks_out_of_order_or_bad(name: str, data: bytes, codes: list[int]) -> None:
+def test_invalid_chunks_are_rejected(name: str, data: bytes, codes: list[int]) -> None:
     for piece in (0, 1):
-        peer, got = talk(HELLO, data, piece=piece)
+        server, got = run_session(HELLO, data, piece=piece)
         assert got == codes, name
 
 
-def plain(*parts: bytes) -> bytes:
+def encode_plain_response(*parts: bytes) -> bytes:
     return base64.b64encode(b"\0".join(parts))
 
 
-def test_tls_and_auth_only_in_order_and_injected_commands_are_dropped() -> None:
+def test_auth_requires_tls_and_injected_commands_are_discarded() -> None:
     session = ServerSession("front.example", limits=LIMITS, offer_tls=True, offer_auth=True)
     session.receive(b"EHLO c\r\n")
     session.next_event()
     out = session.take_output()
     assert b"STARTTLS" in out and b"AUTH" not in out
-    session.receive(b"AUTH PLAIN " + plain(b"", b"u", b"p") + b"\r\n")
+    session.receive(b"AUTH PLAIN " + encode_plain_response(b"", b"u", b"p") + b"\r\n")
     session.next_event()
     assert session.take_output().startswith(b"538 5.7.11")
     session.receive(b"STARTTLS\r\nMAIL FROM:<evil@x>\r\n")
@@ -395,7 +395,13 @@
     session.next_event()
     out = session.take_output()
     assert b"AUTH PLAIN" in out and b"STARTTLS" not in out
-    for line in (b"!!", plain(b"u", b"p"), plain(b"other", b"u", b"p"), plain(b"", b"", b"p"), b"*"):
+    for line in (
+        b"!!",
+        encode_plain_response(b"u", b"p"),
+        encode_plain_response(b"other", b"u", b"p"),
+        encode_plain_response(b"", b"", b"p"),
+        b"*",
+    ):
         session.receive(b"AUTH PLAIN\r\n")
         session.next_event()
         assert session.take_output() == b"334 \r\n"
@@ -403,7 +409,7 @@
         assert isinstance(session.next_event(), mail.InputRejected)
         session._error_count = 0
         assert session.take_output().startswith(b"501")
-    session.receive(b"AUTH PLAIN " + plain(b"", b"u", b"secret") + b"\r\n")
+    session.receive(b"AUTH PLAIN " + encode_plain_response(b"", b"u", b"secret") + b"\r\n")
     event = session.next_event()
     assert isinstance(event, mail.Credentials) and event.name == "u" and event.password == b"secret"
     assert "secret" not in repr(event)
@@ -411,7 +417,7 @@
     assert session.user == "u" and session.next_event() is None
 
 
-def test_envelope_ids() -> None:
-    peer, codes = talk(HELLO, b"MAIL FROM:<> ENVID=a+2Bb\r\nRSET\r\nMAIL FROM:<> ENVID=a=b\r\n")
+def test_envelope_ids_are_parsed() -> None:
+    server, codes = run_session(HELLO, b"MAIL FROM:<> ENVID=a+2Bb\r\nRSET\r\nMAIL FROM:<> ENVID=a=b\r\n")
     assert codes == [250, 250, 250, 501]
-    assert next(e for e in peer.events if isinstance(e, mail.Sender)).parameters.envelope_id == "a+2Bb"
+    assert next(e for e in server.events if isinstance(e, mail.Sender)).parameters.envelope_id == "a+2Bb"
--- a/tests/test_mail_front.py
+++ b/tests/test_mail_front.py
@@ -1,4 +1,4 @@
-"""The fronts over loopback sockets: TLS, accounts, networks, fairness, and messages that come again."""
+"""Tests of the mail fronts over loopback sockets: TLS, accounts, networks, fairness and duplicates."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
 )
 
 
-def certificate(folder: Path, name: str, issuer: Any = None) -> tuple[Path, Path, Any]:
-    """A certificate and its key as files, signed by itself or by an issuer."""
+def make_certificate(folder: Path, name: str, issuer: Any = None) -> tuple[Path, Path, Any]:
+    """Write a certificate, self-signed or signed by ``issuer``, and its key to files."""
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
     now = datetime.datetime.now(datetime.UTC)
@@ -68,12 +68,12 @@
 
 
 @pytest.fixture(scope="module")
-def secure(tmp_path_factory: pytest.TempPathFactory) -> Any:
-    """A forwarder with TLS, a client authority, and one account."""
+def tls_forwarder(tmp_path_factory: pytest.TempPathFactory) -> Any:
+    """Start a forwarder with TLS, a certificate authority for clients, and one account."""
     folder = tmp_path_factory.mktemp("tls")
-    authority = certificate(folder, "authority")
-    server = certificate(folder, "localhost", authority[2])
-    settle = certificate(folder, "settle.example", authority[2])
+    authority = make_certificate(folder, "authority")
+    server = make_certificate(folder, "localhost", authority[2])
+    settle = make_certificate(folder, "settle.example", authority[2])
     accounts = parse_accounts("# who\n\nposting:" + hash_password(b"right", b"salt") + "\n")
 
     def password(name: str, given: bytes) -> Any:
@@ -93,8 +93,8 @@
     live.stop()
 
 
-def test_tls_is_required_and_an_account_identifies_the_client(secure: Any) -> None:
-    live, authority, _ = secure
+def test_tls_is_required_and_account_identifies_client(tls_forwarder: Any) -> None:
+    live, authority, _ = tls_forwarder
     with smtplib.SMTP("localhost", live.ports["smtp"]) as client:
         with pytest.raises(smtplib.SMTPResponseException, match="530"):
             client.sendmail("a@b.example", "note@p.example", "\r\nx\r\n")
@@ -113,8 +113,8 @@
     assert not any("right" in str(line) for line in live.log.lines)
 
 
-def test_a_client_certificate_identifies_the_client(secure: Any) -> None:
-    live, authority, settle = secure
+def test_certificate_identifies_client(tls_forwarder: Any) -> None:
+    live, authority, settle = tls_forwarder
     context = ssl.create_default_context(cafile=str(authority))
     context.load_cert_chain(settle[0], settle[1])
     with smtplib.SMTP("localhost", live.ports["smtp"]) as client:
@@ -124,8 +124,8 @@
     assert message["client"] == "settlement"
 
 
-def test_commands_injected_behind_starttls_are_dropped(secure: Any) -> None:
-    live, authority, _ = secure
+def test_commands_injected_after_starttls_are_discarded(tls_forwarder: Any) -> None:
+    live, authority, _ = tls_forwarder
     wire = live.client()
     wire.write_lines("STARTTLS", "MAIL FROM:<evil@x.example>")
     assert wire.read_reply().startswith("220")
@@ -137,21 +137,21 @@
     assert inside.read_reply().startswith("250 2.0.0")
 
 
-def test_files_that_make_no_context_are_named_and_not_shown(tmp_path: Path) -> None:
-    one, two = certificate(tmp_path, "one"), certificate(tmp_path, "two")
+def test_tls_error_names_invalid_file_without_its_content(tmp_path: Path) -> None:
+    one, two = make_certificate(tmp_path, "one"), make_certificate(tmp_path, "two")
     (tmp_path / "bad").write_text("secret")
     bad = tmp_path / "bad"
-    for crt, key, told in (
+    for crt, key, expected in (
         (one[0], two[1], "belong together"),
         (one[0], bad, "bad: no private key"),
         (bad, one[1], "bad: no certificate"),
     ):
-        with pytest.raises(TlsError, match=told) as caught:
+        with pytest.raises(TlsError, match=expected) as caught:
             build_server_context(crt, key, None)
         assert "secret" not in str(caught.value)
 
 
-def test_accounts_and_networks() -> None:
+def test_accounts_and_networks_are_parsed() -> None:
     wrong = ("3$8$1$00$00", "16384$8$1$zz$00", "99999999$8$1$00$00")
     for text in ("name", "name:plain", *(f"n:scrypt${each}" for each in wrong)):
         with pytest.raises(ValueError, match="line 1 of the accounts"):
@@ -167,24 +167,24 @@
         ClientIdentifier(["300.0.0.0/8"], [])
 
 
-def test_an_address_that_is_not_allowed_is_rejected() -> None:
+def test_connection_from_disallowed_address_is_rejected() -> None:
     with forwarder("allow = ['127.0.0.2/32']") as live:
         wire = BlockingConnection(socket.create_connection(("127.0.0.1", live.ports["smtp"])))
         assert wire.read_line().startswith("554 5.7.1") and wire.read_line() == ""
-        place = ("127.0.0.1", live.ports["smtp"])
-        other = BlockingConnection(socket.create_connection(place, source_address=("127.0.0.2", 0)))
+        address = ("127.0.0.1", live.ports["smtp"])
+        other = BlockingConnection(socket.create_connection(address, source_address=("127.0.0.2", 0)))
         assert other.read_line().startswith("220")
 
 
-def holding(go: threading.Event, taken: list[str]) -> Callable[[BlockingConnection], None]:
-    """A partner that answers once it is told to."""
+def reply_when_set(may_reply: threading.Event, received: list[str]) -> Callable[[BlockingConnection], None]:
+    """Return the script of a partner that records each message and replies once ``may_reply`` is set."""
 
     def script(wire: BlockingConnection) -> None:
         wire.greet()
         while True:
             wire.accept_envelope()
-            taken.append(wire.read_content())
-            go.wait(15)
+            received.append(wire.read_content())
+            may_reply.wait(15)
             wire.write_lines("250 2.0.0 ok")
 
     return script
@@ -193,56 +193,56 @@
 ID = "Message-ID: <m1@c.example>"
 
 
-def test_submitted_again_while_the_first_is_open_both_get_the_one_result() -> None:
-    go, taken = threading.Event(), list[str]()
+def test_duplicate_of_open_message_gets_the_same_result() -> None:
+    may_reply, received = threading.Event(), list[str]()
     with forwarder() as live:
-        partner = ScriptedPartner(holding(go, taken))
+        partner = ScriptedPartner(reply_when_set(may_reply, received))
         live.list_partner("p.example", partner.port)
         first, second = live.client(), live.client("lmtp")
         live.submit(first, "pay@p.example", ID)
-        wait_until(lambda: len(taken) == 1)
+        wait_until(lambda: len(received) == 1)
         live.submit(second, "pay@p.example", ID)
         wait_until(lambda: any(event == "duplicate_joined" for event, _ in live.log.lines))
         other = live.client()
-        live.submit(other, "pay@p.example", "Message-ID: <m2@c.example>")  # another message
-        go.set()
+        live.submit(other, "pay@p.example", "Message-ID: <m2@c.example>")
+        may_reply.set()
         assert [wire.read_reply()[:3] for wire in (first, second, other)] == ["250"] * 3
-        assert len(taken) == 2 and live.service.forwarder.counters.accepted == 2
+        assert len(received) == 2 and live.service.forwarder.counters.accepted == 2
 
 
-def test_submitted_again_after_its_result_it_gets_the_same_without_effect() -> None:
+def test_duplicate_of_delivered_message_gets_its_result_again() -> None:
     with forwarder() as live:
-        taken: list[str] = []
-        go = threading.Event()
-        go.set()
-        live.list_partner("p.example", ScriptedPartner(holding(go, taken)).port)
+        received: list[str] = []
+        may_reply = threading.Event()
+        may_reply.set()
+        live.list_partner("p.example", ScriptedPartner(reply_when_set(may_reply, received)).port)
         for protocol in ("smtp", "lmtp"):
             assert live.send(live.client(protocol), "pay@p.example", ID).startswith("250")
-        assert len(taken) == 1
-        # the same envelope id says the same, whatever the Message-ID
+        assert len(received) == 1
+        # The envelope id alone identifies the message.
         for _ in range(2):
             assert live.send(live.client(), "pay@p.example", by=" ENVID=e1").startswith("250")
-        assert len(taken) == 2
+        assert len(received) == 2
 
 
-def test_the_client_that_lost_its_connection_gets_the_result_of_the_attempt_in_flight() -> None:
-    go, taken = threading.Event(), list[str]()
+def test_reconnected_client_gets_result_of_attempt_in_flight() -> None:
+    may_reply, received = threading.Event(), list[str]()
     with forwarder() as live:
-        live.list_partner("p.example", ScriptedPartner(holding(go, taken)).port)
+        live.list_partner("p.example", ScriptedPartner(reply_when_set(may_reply, received)).port)
         first = live.client()
         live.submit(first, "pay@p.example", ID)
-        wait_until(lambda: len(taken) == 1)
+        wait_until(lambda: len(received) == 1)
         first.sock.close()
         wait_until(lambda: live.service.forwarder.counters.withdrawn == 1)
         second = live.client()
         live.submit(second, "pay@p.example", ID)
         wait_until(lambda: any(event == "duplicate_deferred" for event, _ in live.log.lines))
-        go.set()
+        may_reply.set()
         assert second.read_reply().startswith("250")
-        assert len(taken) == 1
+        assert len(received) == 1
 
 
-def test_an_ambiguous_non_idempotent_message_is_not_sent_again_for_a_duplicate() -> None:
+def test_ambiguous_non_idempotent_message_is_not_sent_again() -> None:
     runs: list[str] = []
 
     def lost(wire: BlockingConnection) -> None:
@@ -258,7 +258,7 @@
         assert len(runs) == 1
 
 
-def test_a_client_that_disconnects_at_each_byte_of_a_session_leaves_nothing_behind() -> None:
+def test_disconnect_at_any_byte_releases_all_resources() -> None:
     with forwarder() as live:
         live.list_partner("p.example", ScriptedPartner(accept_always).port)
         session = b"EHLO c\r\n\0MAIL FROM:<a@c.example>\r\nRCPT TO:<note@p.example>\r\nDATA\r\n\0"
@@ -283,33 +283,33 @@
         assert all(share.used == 0 for share in shares) and not admission.admitted
 
 
-def test_rset_and_quit_with_results_due_come_after_them() -> None:
-    go, taken = threading.Event(), list[str]()
+def test_rset_and_quit_are_answered_after_pending_results() -> None:
+    may_reply, received = threading.Event(), list[str]()
     with forwarder() as live:
-        live.list_partner("p.example", ScriptedPartner(holding(go, taken)).port)
+        live.list_partner("p.example", ScriptedPartner(reply_when_set(may_reply, received)).port)
         client = live.client()
         live.submit(client, "note@p.example")
         client.write_lines("RSET", "QUIT")
-        wait_until(lambda: len(taken) == 1)
-        go.set()
+        wait_until(lambda: len(received) == 1)
+        may_reply.set()
         assert [client.read_reply()[:3] for _ in range(3)] == ["250", "250", "221"]
 
 
-def test_a_flood_of_sessions_from_one_client_leaves_capacity_for_another() -> None:
+def test_flood_of_sessions_leaves_capacity_for_another_client() -> None:
     more = "fronts = fronts(connections = 20),"
     more += "clients = [client_program('settle', networks = ['127.0.0.2/32'])]"
     with forwarder(more) as live:
-        place = ("127.0.0.1", live.ports["smtp"])
-        settle = BlockingConnection(socket.create_connection(place, source_address=("127.0.0.2", 0)))
+        address = ("127.0.0.1", live.ports["smtp"])
+        settle = BlockingConnection(socket.create_connection(address, source_address=("127.0.0.2", 0)))
         assert settle.read_reply().startswith("220")
-        flood = [BlockingConnection(socket.create_connection(place)) for _ in range(40)]
+        flood = [BlockingConnection(socket.create_connection(address)) for _ in range(40)]
         codes = [wire.read_reply()[:3] for wire in flood]
         assert codes.count("220") == 14 and codes.count("421") == 26
-        another = BlockingConnection(socket.create_connection(place, source_address=("127.0.0.2", 0)))
+        another = BlockingConnection(socket.create_connection(address, source_address=("127.0.0.2", 0)))
         assert another.read_reply().startswith("220")
 
 
-def test_slow_and_silent_clients_are_closed() -> None:
+def test_connections_of_idle_clients_are_closed() -> None:
     with forwarder("fronts = fronts(command_timeout = '300ms', data_timeout = '400ms')") as live:
         live.list_partner("p.example", ScriptedPartner(accept_always).port)
         silent, half = live.client(), live.client()
@@ -321,7 +321,7 @@
         wait_until(lambda: not live.service.mail_connections.connections)
 
 
-def test_a_batch_of_50_over_partners_of_every_kind() -> None:
+def test_batch_of_50_recipients_at_mixed_partners() -> None:
     def wait(wire: BlockingConnection) -> None:
         wire.greet("XADVICE")
         while line := wire.read_line():
@@ -351,11 +351,11 @@
         for name in names:
             codes.setdefault(name, set()).add(client.read_reply()[:3])
         assert codes["good"] == {"250"} and codes["shut"] == {"451"} and codes["no"] == {"550"}
-        # unsafe, at a partner that takes all and says nothing: failed, or never sent
+        # Non-idempotent messages to a silent partner have failed or were never sent.
         assert "554" in codes["mute"] and codes["mute"] <= {"554", "451"}
 
 
-def test_credentials_are_plain_inside_tls_only() -> None:
+def test_auth_and_starttls_are_not_offered_without_tls() -> None:
     with forwarder() as live:
         client = live.client()
         client.write_lines("AUTH PLAIN " + base64.b64encode(b"\0u\0p").decode())
@@ -364,19 +364,19 @@
         assert client.read_reply().startswith("502")
 
 
-def test_a_forwarder_drained_in_mid_batch_gives_each_recipient_a_result() -> None:
-    go, taken = threading.Event(), list[str]()
+def test_drain_during_batch_gives_each_recipient_a_result() -> None:
+    may_reply, received = threading.Event(), list[str]()
     with forwarder("slots = 4, max_open = 40") as live:
-        live.list_partner("p.example", ScriptedPartner(holding(go, taken)).port)
+        live.list_partner("p.example", ScriptedPartner(reply_when_set(may_reply, received)).port)
         client = live.client("lmtp")
         client.write_lines("MAIL FROM:<>", *["RCPT TO:<note@p.example>"] * 12, "DATA")
         assert [client.read_reply()[:3] for _ in range(14)] == ["250"] * 13 + ["354"]
         client.write_lines("", "x", ".")
-        wait_until(lambda: len(taken) >= 2)
+        wait_until(lambda: len(received) >= 2)
         stopping = threading.Thread(target=live.stop)
         stopping.start()
         wait_until(lambda: live.service.admission.is_stopping)
-        go.set()
+        may_reply.set()
         codes = [client.read_reply()[:3] for _ in range(12)]
         assert codes.count("250") >= 4 and set(codes) <= {"250", "451", "554"}
         stopping.join(20)
