--- a/honeybarrow/admission/duplicate_detection.py
+++ b/honeybarrow/admission/duplicate_detection.py
@@ -131,7 +131,10 @@
         return len(self._by_key)
 
     def check_submission(self, now: int, key: str) -> DuplicateDecision:
-        """Decide on a submitted message. Call :meth:`record_accepted` if it is then admitted as new."""
+        """Decide how to handle a submitted message.
+
+        Call :meth:`record_accepted` if the decision is :class:`AcceptAsNew` and the message is admitted.
+        """
         self._evict_expired(now)
         first = self._by_key.get(key)
         if first is None:
@@ -188,7 +191,8 @@
         self._by_key.move_to_end(key)
 
     def _evict_expired(self, now: int) -> None:
-        # Entries are ordered by age. A bounded number per call keeps the cost of a submission constant.
+        # Entries are ordered by their last change. Checking a bounded number of them for each submission
+        # keeps its cost constant.
         for _ in range(MAX_EVICTIONS_PER_CHECK):
             if not self._by_key:
                 return
--- a/honeybarrow/admission/fair_share.py
+++ b/honeybarrow/admission/fair_share.py
@@ -89,7 +89,7 @@
         ]
         for name in stale_users:
             del self._last_request_us_by_user[name]
-        # Clients can invent names at will; the bound keeps them from filling the table.
+        # User names can be chosen freely by clients, so the size of the table is bounded.
         while len(self._last_request_us_by_user) > MAX_TRACKED_USERS:
             del self._last_request_us_by_user[
                 min(self._last_request_us_by_user, key=self._last_request_us_by_user.__getitem__)
--- a/honeybarrow/admission/retry_after.py
+++ b/honeybarrow/admission/retry_after.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 
 MIN_RETRY_AFTER_US = 200_000
-MAX_RETRY_AFTER_US = 3_000_000  # longer delays would leave freed capacity unused
+MAX_RETRY_AFTER_US = 3_000_000  # before jitter; longer delays would leave freed capacity unused
 RETRY_AFTER_JITTER = 0.5  # maximum random increase, as a fraction; spreads clients rejected together
 
 
--- a/honeybarrow/mail/client.py
+++ b/honeybarrow/mail/client.py
@@ -16,7 +16,7 @@
 
 
 class Phase(enum.Enum):
-    """The phase of a session, mostly named after the reply that it waits for."""
+    """What a session waits for: the reply to a command, or the next transaction."""
 
     GREETING = "greeting"
     HELLO = "hello"
@@ -48,8 +48,8 @@
 class RecipientAnswered:
     """The final reply for one recipient of the transaction.
 
-    ``phase``: the command that the reply answers; ``index``: position among the given recipients;
-    ``is_last``: whether every recipient now has its reply.
+    ``phase``: the command that the reply answers; ``index``: position in the list of recipients, from 0;
+    ``is_last``: whether every recipient now has its final reply.
     """
 
     reply: Reply
@@ -346,5 +346,5 @@
 
 
 def encode_xtext(text: str) -> str:
-    """Encode text as xtext (RFC 3461 4); characters outside ASCII are dropped."""
+    """Encode text as xtext (RFC 3461 4); DEL and characters outside ASCII are dropped."""
     return "".join(c if "!" <= c <= "~" and c not in "+=" else f"+{ord(c):02X}" for c in text if ord(c) < 127)
--- a/honeybarrow/mail/grammar.py
+++ b/honeybarrow/mail/grammar.py
@@ -142,7 +142,7 @@
         """Add one line without its CRLF; return the reply if the line completes it.
 
         Raises :class:`InvalidReplyError` for a line without a valid code, differing codes within a reply,
-        too many lines, and control characters that end a line.
+        too many lines, and a bare CR, LF or NUL.
         """
         if len(line) < 3 or not line[:3].isdigit() or not 200 <= int(line[:3]) <= 599:
             raise InvalidReplyError(f"no reply code in {sanitize(line[:60].decode('latin-1'))!r}")
@@ -261,15 +261,15 @@
 
 def _find_path_end(body: str) -> int:
     """Return the index of the bracket that ends a path, ignoring quoted strings, or -1 if there is none."""
-    quoted, i = False, 1
-    while i < len(body):
-        if body[i] == "\\" and quoted:
-            i += 1
-        elif body[i] == '"':
-            quoted = not quoted
-        elif body[i] == ">" and not quoted:
-            return i
-        i += 1
+    is_quoted, index = False, 1
+    while index < len(body):
+        if body[index] == "\\" and is_quoted:
+            index += 1
+        elif body[index] == '"':
+            is_quoted = not is_quoted
+        elif body[index] == ">" and not is_quoted:
+            return index
+        index += 1
     return -1
 
 
--- a/honeybarrow/mail/server_commands.py
+++ b/honeybarrow/mail/server_commands.py
@@ -23,9 +23,9 @@
 
     ``extended``: whether the client sent EHLO or LHLO, which allows ESMTP parameters.
     """
-    path, more = grammar.read_path(rest, "FROM:", grammar.INVALID_SENDER_ADDRESS)
-    parameters = grammar.read_mail_parameters(more)
-    if more and not extended:
+    path, parameter_text = grammar.read_path(rest, "FROM:", grammar.INVALID_SENDER_ADDRESS)
+    parameters = grammar.read_mail_parameters(parameter_text)
+    if parameter_text and not extended:
         raise GrammarError(Reply(555, "5.5.4", "parameters need EHLO"))
     if parameters.size_bytes > max_message_bytes:
         raise GrammarError(MESSAGE_TOO_LARGE)
@@ -34,8 +34,8 @@
 
 def read_recipient(rest: str) -> Recipient:
     """Parse the parameters of RCPT (RFC 5321 4.1.1.3). Raises :class:`GrammarError`."""
-    path, more = grammar.read_path(rest, "TO:", grammar.INVALID_RECIPIENT_ADDRESS)
-    if more:
+    path, parameter_text = grammar.read_path(rest, "TO:", grammar.INVALID_RECIPIENT_ADDRESS)
+    if parameter_text:
         raise GrammarError(Reply(555, "5.5.4", "parameter not implemented"))
     if not path.domain:
         raise GrammarError(grammar.INVALID_RECIPIENT_ADDRESS)
--- a/honeybarrow/mail_front/connection_registry.py
+++ b/honeybarrow/mail_front/connection_registry.py
@@ -23,7 +23,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MailFrontLimits:
-    """Limits of a front: idle time between commands, idle time within content, and the number of hops."""
+    """Limits of a front.
+
+    ``command_timeout_s`` and ``data_timeout_s``: idle time allowed between commands and within content;
+    ``max_hops``: number of Received fields allowed in a message.
+    """
 
     command_timeout_s: float = 300.0
     data_timeout_s: float = 180.0
@@ -131,5 +135,5 @@
         if not submission_id:
             return ""
         # The body is part of the key, so that a different message that reuses an id is not a duplicate.
-        body = hashlib.blake2b(mail.split_content(message.content)[1], digest_size=16).hexdigest()
-        return f"{client}\0{submission_id}\0{recipient}\0{body}"
+        body_digest = hashlib.blake2b(mail.split_content(message.content)[1], digest_size=16).hexdigest()
+        return f"{client}\0{submission_id}\0{recipient}\0{body_digest}"
--- a/honeybarrow/mail_front/protocol.py
+++ b/honeybarrow/mail_front/protocol.py
@@ -147,9 +147,9 @@
             self.transport.loseConnection()
             return
         self._adjust_reading()
-        in_content = self.session.is_in_content
+        is_in_content = self.session.is_in_content
         limits = self.registry.front_limits
-        idle_s = limits.data_timeout_s if in_content else limits.command_timeout_s
+        idle_s = limits.data_timeout_s if is_in_content else limits.command_timeout_s
         self._set_idle_timer(None if self.session.is_waiting else idle_s)
 
     def _adjust_reading(self) -> None:
@@ -164,11 +164,11 @@
         elif self.connection_id not in self.registry.paused_connections:
             self._set_reading(not is_buffer_full)
 
-    def _set_reading(self, on: bool) -> None:
+    def _set_reading(self, is_reading: bool) -> None:
         """Resume or pause the transport, unless it is in that state already."""
-        if on != self.is_reading and self.transport is not None:
-            self.is_reading = on
-            (self.transport.resumeProducing if on else self.transport.pauseProducing)()
+        if is_reading != self.is_reading and self.transport is not None:
+            self.is_reading = is_reading
+            (self.transport.resumeProducing if is_reading else self.transport.pauseProducing)()
 
     def _handle_event(self, event: Any) -> None:
         session, registry = self.session, self.registry
--- a/tests/test_mail.py
+++ b/tests/test_mail.py
@@ -189,16 +189,16 @@
 ) -> list[Any]:
     """Exchange bytes between both sides until neither has any left; return the client's events."""
     events: list[Any] = []
-    fresh, server.out = server.out, b""
+    from_server, server.out = server.out, b""
     while True:
-        size = pieces.randint(1, 9) if pieces else len(fresh) or 1
-        for at in range(0, len(fresh), size):
-            events += client.receive(fresh[at : at + size])
+        size = pieces.randint(1, 9) if pieces else len(from_server) or 1
+        for start in range(0, len(from_server), size):
+            events += client.receive(from_server[start : start + size])
         out = client.take_output()
         if not out:
             return events
         server.feed(out, pieces.randint(1, 9) if pieces else 0)
-        fresh, server.out = server.out, b""
+        from_server, server.out = server.out, b""
 
 
 @settings(max_examples=60, deadline=None)
--- a/tests/test_mail_front.py
+++ b/tests/test_mail_front.py
@@ -126,11 +126,11 @@
 
 def test_commands_injected_after_starttls_are_discarded(tls_forwarder: Any) -> None:
     live, authority, _ = tls_forwarder
-    wire = live.client()
-    wire.write_lines("STARTTLS", "MAIL FROM:<evil@x.example>")
-    assert wire.read_reply().startswith("220")
+    connection = live.client()
+    connection.write_lines("STARTTLS", "MAIL FROM:<evil@x.example>")
+    assert connection.read_reply().startswith("220")
     context = ssl.create_default_context(cafile=str(authority))
-    inside = BlockingConnection(context.wrap_socket(wire.sock, server_hostname="localhost"))
+    inside = BlockingConnection(context.wrap_socket(connection.sock, server_hostname="localhost"))
     inside.write_lines("EHLO c.example")
     assert inside.read_reply().startswith("250")
     inside.write_lines("NOOP")
@@ -169,8 +169,8 @@
 
 def test_connection_from_disallowed_address_is_rejected() -> None:
     with forwarder("allow = ['127.0.0.2/32']") as live:
-        wire = BlockingConnection(socket.create_connection(("127.0.0.1", live.ports["smtp"])))
-        assert wire.read_line().startswith("554 5.7.1") and wire.read_line() == ""
+        connection = BlockingConnection(socket.create_connection(("127.0.0.1", live.ports["smtp"])))
+        assert connection.read_line().startswith("554 5.7.1") and connection.read_line() == ""
         address = ("127.0.0.1", live.ports["smtp"])
         other = BlockingConnection(socket.create_connection(address, source_address=("127.0.0.2", 0)))
         assert other.read_line().startswith("220")
@@ -179,18 +179,18 @@
 def reply_when_set(may_reply: threading.Event, received: list[str]) -> Callable[[BlockingConnection], None]:
     """Return the script of a partner that records each message and replies once ``may_reply`` is set."""
 
-    def script(wire: BlockingConnection) -> None:
-        wire.greet()
+    def script(connection: BlockingConnection) -> None:
+        connection.greet()
         while True:
-            wire.accept_envelope()
-            received.append(wire.read_content())
+            connection.accept_envelope()
+            received.append(connection.read_content())
             may_reply.wait(15)
-            wire.write_lines("250 2.0.0 ok")
+            connection.write_lines("250 2.0.0 ok")
 
     return script
 
 
-ID = "Message-ID: <m1@c.example>"
+MESSAGE_ID_HEADER = "Message-ID: <m1@c.example>"
 
 
 def test_duplicate_of_open_message_gets_the_same_result() -> None:
@@ -199,14 +199,14 @@
         partner = ScriptedPartner(reply_when_set(may_reply, received))
         live.list_partner("p.example", partner.port)
         first, second = live.client(), live.client("lmtp")
-        live.submit(first, "pay@p.example", ID)
+        live.submit(first, "pay@p.example", MESSAGE_ID_HEADER)
         wait_until(lambda: len(received) == 1)
-        live.submit(second, "pay@p.example", ID)
+        live.submit(second, "pay@p.example", MESSAGE_ID_HEADER)
         wait_until(lambda: any(event == "duplicate_joined" for event, _ in live.log.lines))
         other = live.client()
         live.submit(other, "pay@p.example", "Message-ID: <m2@c.example>")
         may_reply.set()
-        assert [wire.read_reply()[:3] for wire in (first, second, other)] == ["250"] * 3
+        assert [connection.read_reply()[:3] for connection in (first, second, other)] == ["250"] * 3
         assert len(received) == 2 and live.service.forwarder.counters.accepted == 2
 
 
@@ -217,7 +217,7 @@
         may_reply.set()
         live.list_partner("p.example", ScriptedPartner(reply_when_set(may_reply, received)).port)
         for protocol in ("smtp", "lmtp"):
-            assert live.send(live.client(protocol), "pay@p.example", ID).startswith("250")
+            assert live.send(live.client(protocol), "pay@p.example", MESSAGE_ID_HEADER).startswith("250")
         assert len(received) == 1
         # The envelope id alone identifies the message.
         for _ in range(2):
@@ -230,12 +230,12 @@
     with forwarder() as live:
         live.list_partner("p.example", ScriptedPartner(reply_when_set(may_reply, received)).port)
         first = live.client()
-        live.submit(first, "pay@p.example", ID)
+        live.submit(first, "pay@p.example", MESSAGE_ID_HEADER)
         wait_until(lambda: len(received) == 1)
         first.sock.close()
         wait_until(lambda: live.service.forwarder.counters.withdrawn == 1)
         second = live.client()
-        live.submit(second, "pay@p.example", ID)
+        live.submit(second, "pay@p.example", MESSAGE_ID_HEADER)
         wait_until(lambda: any(event == "duplicate_deferred" for event, _ in live.log.lines))
         may_reply.set()
         assert second.read_reply().startswith("250")
@@ -245,16 +245,16 @@
 def test_ambiguous_non_idempotent_message_is_not_sent_again() -> None:
     runs: list[str] = []
 
-    def lost(wire: BlockingConnection) -> None:
-        wire.greet()
-        wire.accept_envelope()
-        runs.append(wire.read_content())
-        wire.reset()
+    def lost(connection: BlockingConnection) -> None:
+        connection.greet()
+        connection.accept_envelope()
+        runs.append(connection.read_content())
+        connection.reset()
 
     with forwarder() as live:
         live.list_partner("p.example", ScriptedPartner(lost).port)
         for _ in range(2):
-            assert live.send(live.client(), "pay@p.example", ID).startswith("554 5.4.0")
+            assert live.send(live.client(), "pay@p.example", MESSAGE_ID_HEADER).startswith("554 5.4.0")
         assert len(runs) == 1
 
 
@@ -265,16 +265,16 @@
         session += b"Subject: x\r\n\r\nhi\r\n.\r\n"
         whole = session.replace(b"\0", b"")
         for cut in range(len(whole) + 1):
-            wire = BlockingConnection(socket.create_connection(("127.0.0.1", live.ports["smtp"])))
+            connection = BlockingConnection(socket.create_connection(("127.0.0.1", live.ports["smtp"])))
             sent = 0
             for part in session.split(b"\0"):
                 piece = part[: max(0, cut - sent)]
-                wire.sock.sendall(piece)
+                connection.sock.sendall(piece)
                 sent += len(piece)
                 if len(piece) < len(part):
                     break
-                wire.read_reply()
-            wire.sock.close()
+                connection.read_reply()
+            connection.sock.close()
         wait_until(
             lambda: not live.service.mail_connections.connections and live.service.forwarder.open_count == 0
         )
@@ -296,14 +296,14 @@
 
 
 def test_flood_of_sessions_leaves_capacity_for_another_client() -> None:
-    more = "fronts = fronts(connections = 20),"
-    more += "clients = [client_program('settle', networks = ['127.0.0.2/32'])]"
-    with forwarder(more) as live:
+    extra_settings = "fronts = fronts(connections = 20),"
+    extra_settings += "clients = [client_program('settle', networks = ['127.0.0.2/32'])]"
+    with forwarder(extra_settings) as live:
         address = ("127.0.0.1", live.ports["smtp"])
         settle = BlockingConnection(socket.create_connection(address, source_address=("127.0.0.2", 0)))
         assert settle.read_reply().startswith("220")
         flood = [BlockingConnection(socket.create_connection(address)) for _ in range(40)]
-        codes = [wire.read_reply()[:3] for wire in flood]
+        codes = [connection.read_reply()[:3] for connection in flood]
         assert codes.count("220") == 14 and codes.count("421") == 26
         another = BlockingConnection(socket.create_connection(address, source_address=("127.0.0.2", 0)))
         assert another.read_reply().startswith("220")
@@ -312,31 +312,31 @@
 def test_connections_of_idle_clients_are_closed() -> None:
     with forwarder("fronts = fronts(command_timeout = '300ms', data_timeout = '400ms')") as live:
         live.list_partner("p.example", ScriptedPartner(accept_always).port)
-        silent, half = live.client(), live.client()
-        half.write_lines("MAIL FROM:<a@c.example>", "RCPT TO:<note@p.example>", "DATA")
-        assert [half.read_reply()[:3] for _ in range(3)] == ["250", "250", "354"]
-        half.write_lines("half a mess")
+        silent, incomplete = live.client(), live.client()
+        incomplete.write_lines("MAIL FROM:<a@c.example>", "RCPT TO:<note@p.example>", "DATA")
+        assert [incomplete.read_reply()[:3] for _ in range(3)] == ["250", "250", "354"]
+        incomplete.write_lines("half a mess")
         assert silent.read_reply().startswith("421 4.4.2") and silent.read_line() == ""
-        assert half.read_reply().startswith("421 4.4.2") and half.read_line() == ""
+        assert incomplete.read_reply().startswith("421 4.4.2") and incomplete.read_line() == ""
         wait_until(lambda: not live.service.mail_connections.connections)
 
 
 def test_batch_of_50_recipients_at_mixed_partners() -> None:
-    def wait(wire: BlockingConnection) -> None:
-        wire.greet("XADVICE")
-        while line := wire.read_line():
-            wire.write_lines("451 4.3.2 [wait=5000] shut" if line.startswith("MAIL") else "250 ok")
-
-    def silent(wire: BlockingConnection) -> None:
-        wire.greet()
-        wire.accept_envelope()
-        wire.read_content()
+    def wait(connection: BlockingConnection) -> None:
+        connection.greet("XADVICE")
+        while line := connection.read_line():
+            connection.write_lines("451 4.3.2 [wait=5000] shut" if line.startswith("MAIL") else "250 ok")
+
+    def silent(connection: BlockingConnection) -> None:
+        connection.greet()
+        connection.accept_envelope()
+        connection.read_content()
         time.sleep(20)
 
-    def refusing(wire: BlockingConnection) -> None:
-        wire.greet()
-        while line := wire.read_line():
-            wire.write_lines("550 5.1.1 nobody" if line.startswith("RCPT") else "250 ok")
+    def refusing(connection: BlockingConnection) -> None:
+        connection.greet()
+        while line := connection.read_line():
+            connection.write_lines("550 5.1.1 nobody" if line.startswith("RCPT") else "250 ok")
 
     with forwarder("slots = 16, max_open = 100") as live:
         for name, script in (("good", accept_always), ("shut", wait), ("mute", silent), ("no", refusing)):
