--- a/honeybarrow/mail/server.py
+++ b/honeybarrow/mail/server.py
@@ -1,8 +1,8 @@
-"""The server's side of an SMTP or LMTP session: bytes in, events out, answers in, bytes out.
+"""The server side of an SMTP or LMTP session, as a state machine without I/O.
 
-The session does no I/O. Feed bytes with :meth:`ServerSession.receive`, take events with
-:meth:`ServerSession.next_event` until it says ``None``, answer those that ask for it with
-:meth:`ServerSession.answer`, and write what :meth:`ServerSession.take_output` gives.
+Pass received bytes to :meth:`ServerSession.receive`, then call :meth:`ServerSession.next_event` until it
+returns ``None``. Reply to events that need it with :meth:`ServerSession.answer`, and write the bytes that
+:meth:`ServerSession.take_output` returns.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
     read_sender,
 )
 from honeybarrow.mail.server_events import (
-    ALLOWED,
-    BAD_CREDENTIALS,
-    BAD_MECHANISM,
-    EARLY,
+    ALLOWED_COMMANDS,
+    AUTH_NOT_OFFERED,
+    COMMAND_VERBS,
     FIXED_REPLIES,
-    IN_TLS,
-    LAST_IN_GROUP,
-    NEED_TLS,
-    NO_AUTH,
-    NO_TLS,
+    LAST_IN_PIPELINE,
+    MALFORMED_CREDENTIALS,
     OUT_OF_ORDER,
+    SENT_BEFORE_REPLY,
+    TLS_ALREADY_ACTIVE,
+    TLS_NOT_OFFERED,
+    TLS_REQUIRED,
     TOO_MANY_RECIPIENTS,
-    VERBS,
+    UNSUPPORTED_MECHANISM,
     Closed,
     Credentials,
     Event,
@@ -56,7 +56,10 @@
 
 
 class ServerSession(SessionBuffers):
-    """One session. ``lmtp`` chooses RFC 2033; ``name`` is the server's own domain."""
+    """The server side of one session.
+
+    ``name`` is the server's own domain; ``lmtp`` selects LMTP (RFC 2033) instead of SMTP.
+    """
 
     def __init__(
         self,
@@ -68,62 +71,61 @@
     ) -> None:
         super().__init__(name, lmtp, limits or SessionLimits())
         self.offer_tls, self.offer_auth, self.tls = offer_tls, offer_auth, False
-        self.user = ""  # who has proved to be there by AUTH
+        self.user = ""  # account name, once authenticated with AUTH
         self.peer_name = ""
-        self._skipping = False  # the rest of an over-long command line
+        self._is_skipping_line = False  # discarding the rest of an overlong command line
         self._transaction: _Transaction | None = None
         self._pending_event: Sender | Recipient | Message | Credentials | None = None
-        self._state_before_chunk = State.FRESH
-        self._chunk_bytes_left, self._is_last_chunk = (
-            0,
-            False,
-        )  # bytes that a BDAT still brings, and whether it is the last
-        self._chunk_refusal: Reply | None = None  # why a BDAT's bytes are dropped: it came out of order
-        self._replies_due = 0  # replies that the event still needs
+        self._state_before_chunk = State.BEFORE_HELLO
+        self._chunk_bytes_left, self._is_last_chunk = 0, False
+        self._chunk_refusal: Reply | None = None  # reply to a BDAT out of order, whose bytes are discarded
+        self._replies_due = 0  # replies that the pending event still needs
         self._content = ContentReader(self.limits)
-        self._has_ended = False
+        self._is_closed_reported = False
 
     @property
     def is_in_content(self) -> bool:
-        """Whether bytes of a message are on their way."""
-        return self.state in (State.DATA, State.CHUNK)
+        """Whether the client is sending the content of a message."""
+        return self.state in (State.DATA, State.CHUNK_DATA)
 
     @property
     def is_in_transaction(self) -> bool:
-        """Whether a sender was accepted whose message has no reply yet."""
+        """Whether a transaction is open: its sender was accepted and its message has no final reply."""
         return self._transaction is not None
 
     def next_event(self) -> Event | None:
-        """The next event, or ``None`` when more bytes or an answer are needed."""
-        while self.state is not State.ASKED:
+        """Return the next event, or ``None`` if more bytes or a reply are needed."""
+        while self.state is not State.AWAITING_REPLY:
             if self.state is State.CLOSED:
-                if self._has_ended:
+                if self._is_closed_reported:
                     return None
-                self._has_ended = True
+                self._is_closed_reported = True
                 return Closed()
             if self.state is State.DATA:
-                event = self._content_event()
-            elif self.state is State.CHUNK:
-                event = self._chunk_event()
+                event = self._read_content_event()
+            elif self.state is State.CHUNK_DATA:
+                event = self._read_chunk_event()
             else:
-                event = self._command_event()
+                event = self._read_command_event()
             if event is None:
                 return None
-            if not isinstance(event, _Nothing):
+            if not isinstance(event, _NoEvent):
                 return event
         return None
 
-    def _command_event(self) -> Event | _Nothing | None:
-        at = self._in.find(CRLF)
-        if self._skipping:
-            return self._skip_line(at)
-        if at > self.limits.max_command_bytes or (at < 0 and len(self._in) > self.limits.max_command_bytes):
-            self._skipping = True
-            return NOTHING
-        if at < 0:
+    def _read_command_event(self) -> Event | _NoEvent | None:
+        line_end = self._in.find(CRLF)
+        if self._is_skipping_line:
+            return self._skip_line(line_end)
+        if line_end > self.limits.max_command_bytes or (
+            line_end < 0 and len(self._in) > self.limits.max_command_bytes
+        ):
+            self._is_skipping_line = True
+            return NO_EVENT
+        if line_end < 0:
             return None
-        line = bytes(self._in[:at])
-        del self._in[: at + 2]
+        line = bytes(self._in[:line_end])
+        del self._in[: line_end + 2]
         if self.state is State.AUTH:
             self.state = State.READY
             return self._on_credentials(line)
@@ -132,31 +134,31 @@
         except GrammarError as error:
             return self._reject_input(error.reply)
 
-    def _skip_line(self, at: int) -> Event | None:
-        """Drop the rest of an over-long command line, which ends at ``at``, or has no end yet."""
-        if at < 0:
+    def _skip_line(self, line_end: int) -> Event | None:
+        """Discard the rest of an overlong command line. ``line_end`` is negative until its end arrives."""
+        if line_end < 0:
             del self._in[:-1]
             return None
-        del self._in[: at + 2]
-        self._skipping = False
-        return self._reject_input(grammar.LONG_LINE)
+        del self._in[: line_end + 2]
+        self._is_skipping_line = False
+        return self._reject_input(grammar.COMMAND_LINE_TOO_LONG)
 
-    def _check_command(self, command: grammar.Command) -> Event | _Nothing | None:
+    def _check_command(self, command: grammar.Command) -> Event | _NoEvent | None:
         if command.verb == "BDAT":
             return self._on_bdat(command.rest)
-        if command.verb not in VERBS:
-            raise GrammarError(grammar.UNKNOWN)
-        if command.verb not in ALLOWED[self.state]:
+        if command.verb not in COMMAND_VERBS:
+            raise GrammarError(grammar.UNKNOWN_COMMAND)
+        if command.verb not in ALLOWED_COMMANDS[self.state]:
             raise GrammarError(OUT_OF_ORDER)
-        if command.verb in LAST_IN_GROUP and self._in:
-            # Danger: bytes behind DATA or EHLO were written without knowing the reply; read as
-            # commands or content they mean what nobody meant (RFC 2920 3.1; command injection).
-            self._write_reply(EARLY)
+        if command.verb in LAST_IN_PIPELINE and self._in:
+            # A client must wait for the reply to these commands (RFC 2920 3.1). Interpreting bytes that
+            # it sent before would allow command injection.
+            self._write_reply(SENT_BEFORE_REPLY)
             self.state = State.CLOSED
-            return InputRejected(EARLY)
+            return InputRejected(SENT_BEFORE_REPLY)
         return self._run_command(command)
 
-    def _run_command(self, command: grammar.Command) -> Event | _Nothing:
+    def _run_command(self, command: grammar.Command) -> Event | _NoEvent:
         verb, rest = command.verb, command.rest
         match verb:
             case "HELO" | "EHLO" | "LHLO":
@@ -178,7 +180,7 @@
                 if verb == "RSET":
                     self._reset()
                 self._write_reply(FIXED_REPLIES[verb])
-        return NOTHING
+        return NO_EVENT
 
     def _on_rcpt(self, rest: str) -> Event:
         recipient = read_recipient(rest)
@@ -188,19 +190,19 @@
             return InputRejected(TOO_MANY_RECIPIENTS)
         return self._await_reply(recipient)
 
-    def _on_data(self, rest: str) -> _Nothing:
+    def _on_data(self, rest: str) -> _NoEvent:
         if rest:
-            raise GrammarError(grammar.SYNTAX)
+            raise GrammarError(grammar.SYNTAX_ERROR)
         self._write_reply(Reply(354, "", "go ahead, end with a dot alone"))
         self.state = State.DATA
         self._content.start()
-        return NOTHING
+        return NO_EVENT
 
     def _on_hello(self, verb: str, name: str) -> Event:
         if (verb == "LHLO") != self.lmtp:
             raise GrammarError(Reply(500, "5.5.1", "LHLO here" if self.lmtp else "this is not LMTP"))
         if not name or " " in name:
-            raise GrammarError(grammar.SYNTAX)
+            raise GrammarError(grammar.SYNTAX_ERROR)
         self._reset()
         self.peer_name, self.extended = grammar.sanitize(name), verb != "HELO"
         self.state = State.READY
@@ -214,81 +216,81 @@
             self._write_reply(Reply(250, "", self.name, lines=extensions))
         return Hello(self.peer_name, self.extended)
 
-    # TLS and AUTH
-
     def _on_starttls(self, rest: str) -> Event:
         if rest:
-            raise GrammarError(grammar.SYNTAX)
+            raise GrammarError(grammar.SYNTAX_ERROR)
         if not self.offer_tls or self.tls:
-            raise GrammarError(IN_TLS if self.tls else NO_TLS)
-        # Danger: commands that someone on the way put in behind STARTTLS would be read as sent inside
-        # it (RFC 3207 5, CVE-2011-0411). What is there in the clear is dropped unread.
+            raise GrammarError(TLS_ALREADY_ACTIVE if self.tls else TLS_NOT_OFFERED)
+        # Plaintext after STARTTLS is discarded: an attacker could otherwise inject commands that appear to
+        # have been sent under TLS (RFC 3207 5, CVE-2011-0411).
         self._in.clear()
         self._write_reply(Reply(220, "2.0.0", "go ahead"))
-        self.state = State.FRESH
+        self.state = State.BEFORE_HELLO
         return StartTls()
 
     def on_tls_started(self) -> None:
-        """TLS is on: the session starts anew and discards what it knew of the client (RFC 3207 4.2)."""
-        self.tls, self.state = True, State.FRESH
+        """Reset the session for TLS, discarding all knowledge of the client (RFC 3207 4.2)."""
+        self.tls, self.state = True, State.BEFORE_HELLO
         self.peer_name, self.extended, self.user = "", False, ""
         self._transaction = None
         self._in.clear()
 
-    def _on_auth(self, rest: str) -> Event | _Nothing:
+    def _on_auth(self, rest: str) -> Event | _NoEvent:
         if not self.offer_auth or self.user:
-            raise GrammarError(OUT_OF_ORDER if self.user else NO_AUTH)
+            raise GrammarError(OUT_OF_ORDER if self.user else AUTH_NOT_OFFERED)
         if not self.tls:
-            raise GrammarError(NEED_TLS)
+            raise GrammarError(TLS_REQUIRED)
         mechanism, _, initial = rest.partition(" ")
         if mechanism.upper() != "PLAIN":
-            raise GrammarError(BAD_MECHANISM)
+            raise GrammarError(UNSUPPORTED_MECHANISM)
         if initial:
             return self._on_credentials(initial.encode("ascii"))
         self._out += b"334 " + CRLF
         self.state = State.AUTH
-        return NOTHING
+        return NO_EVENT
 
     def _on_credentials(self, line: bytes) -> Event:
         credentials = read_credentials(line)
-        return self._reject_input(BAD_CREDENTIALS) if credentials is None else self._await_reply(credentials)
-
-    # content
-
-    def _on_bdat(self, rest: str) -> Event | _Nothing:
-        """BDAT (RFC 3030 2): its bytes follow at once, so also a refused one must be read past."""
+        return (
+            self._reject_input(MALFORMED_CREDENTIALS)
+            if credentials is None
+            else self._await_reply(credentials)
+        )
+
+    def _on_bdat(self, rest: str) -> Event | _NoEvent:
+        """Handle BDAT (RFC 3030 2). Its bytes follow at once, so those of a refused BDAT are read as well."""
         chunk = read_chunk(rest)
         if chunk is None:
-            # where the bytes end isn't known: nothing behind can be read as commands
-            self._write_reply(grammar.SYNTAX)
+            # The end of the chunk is unknown, so the following bytes can't be parsed as commands.
+            self._write_reply(grammar.SYNTAX_ERROR)
             self.state = State.CLOSED
-            return InputRejected(grammar.SYNTAX)
-        self._chunk_refusal = None if "BDAT" in ALLOWED[self.state] else OUT_OF_ORDER
+            return InputRejected(grammar.SYNTAX_ERROR)
+        self._chunk_refusal = None if "BDAT" in ALLOWED_COMMANDS[self.state] else OUT_OF_ORDER
         if self._chunk_refusal is None and self.state is State.RCPT:
             self._content.start()
         self._state_before_chunk = self.state
-        self._chunk_bytes_left, self._is_last_chunk, self.state = chunk.size, chunk.is_last, State.CHUNK
-        return NOTHING
+        self._chunk_bytes_left, self._is_last_chunk, self.state = chunk.size, chunk.is_last, State.CHUNK_DATA
+        return NO_EVENT
 
-    def _chunk_event(self) -> Event | _Nothing | None:
+    def _read_chunk_event(self) -> Event | _NoEvent | None:
         data = bytes(self._in[: self._chunk_bytes_left])
         del self._in[: self._chunk_bytes_left]
         self._chunk_bytes_left -= len(data)
         if self._chunk_refusal is None:
-            self._content.keep(data)
+            self._content.append(data)
         if self._chunk_bytes_left:
             return None
         if self._chunk_refusal is not None:
             self.state = self._state_before_chunk
             return self._reject_input(self._chunk_refusal)
         if not self._is_last_chunk:
-            self.state = State.CHUNKS
+            self.state = State.BETWEEN_CHUNKS
             self._write_reply(self._content.refusal or Reply(250, "2.0.0", "go on"))
-            return NOTHING
+            return NO_EVENT
         self._content.end_line()
         return self._on_content_complete(stuffed=False)
 
-    def _content_event(self) -> Event | _Nothing | None:
+    def _read_content_event(self) -> Event | _NoEvent | None:
         return self._on_content_complete(stuffed=True) if self._content.read_lines(self._in) else None
 
     def _on_content_complete(self, stuffed: bool) -> Event:
@@ -299,42 +301,40 @@
             for _ in transaction.recipients if self.lmtp else (None,):
                 self._write_reply(content)
             self._reset()
-            self._errors += 1
+            self._error_count += 1
             return InputRejected(content)
         event = Message(transaction.sender, transaction.parameters, tuple(transaction.recipients), content)
         return self._await_reply(event)
 
-    # answers
-
     def answer(self, *replies: Reply) -> None:
-        """Answer the event that waits. An LMTP message takes a reply for each recipient, in order;
-        they may come one at a time, and each goes out as it comes (RFC 2033 4.2).
+        """Reply to the pending event.
 
-        Raises ``RuntimeError`` when more replies come than are due.
+        An LMTP message takes one reply for each recipient, in order (RFC 2033 4.2). They may be given in
+        several calls and are written at once. Raises ``RuntimeError`` for more replies than are due.
         """
         if self.state is State.CLOSED:
             return
-        asked = self._pending_event
-        if asked is None or len(replies) > self._replies_due:
-            raise RuntimeError(f"{len(replies)} replies come where {self._replies_due} are due")
+        event = self._pending_event
+        if event is None or len(replies) > self._replies_due:
+            raise RuntimeError(f"{len(replies)} replies given, but {self._replies_due} are due")
         self._replies_due -= len(replies)
         for reply in replies:
             self._write_reply(reply)
         if self._replies_due:
             return
         self._pending_event = None
-        if isinstance(asked, Sender):
-            taken = replies[0].is_positive
-            self._transaction = _Transaction(asked.path, asked.parameters) if taken else None
-            self.state = State.MAIL if taken else State.READY
-        elif isinstance(asked, Recipient):
+        if isinstance(event, Sender):
+            is_accepted = replies[0].is_positive
+            self._transaction = _Transaction(event.path, event.parameters) if is_accepted else None
+            self.state = State.MAIL if is_accepted else State.READY
+        elif isinstance(event, Recipient):
             assert self._transaction is not None
             if replies[0].is_positive:
-                self._transaction.recipients.append(asked.path)
+                self._transaction.recipients.append(event.path)
             self.state = State.RCPT if self._transaction.recipients else State.MAIL
-        elif isinstance(asked, Credentials):
-            self.user = asked.name if replies[0].is_positive else ""
-            self._errors += not replies[0].is_positive
+        elif isinstance(event, Credentials):
+            self.user = event.name if replies[0].is_positive else ""
+            self._error_count += not replies[0].is_positive
             self.state = State.READY
         else:
             self._reset()
@@ -342,18 +342,18 @@
             self.state = State.CLOSED
 
     def _await_reply(self, event: Sender | Recipient | Message | Credentials) -> Event:
-        self._pending_event, self.state = event, State.ASKED
+        self._pending_event, self.state = event, State.AWAITING_REPLY
         self._replies_due = len(event.recipients) if self.lmtp and isinstance(event, Message) else 1
         return event
 
     def _reset(self) -> None:
         self._transaction = None
-        if self.state is not State.FRESH:
+        if self.state is not State.BEFORE_HELLO:
             self.state = State.READY
 
 
-class _Nothing:
-    """An input that was dealt with and gives no event."""
+class _NoEvent:
+    """The result of input that was processed without an event."""
 
 
-NOTHING = _Nothing()
+NO_EVENT = _NoEvent()
