--- a/honeybarrow/consensus/__init__.py
+++ b/honeybarrow/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Consensus: the replicated log of a fleet, its folder, and the leases that rest on it."""
+"""The replicated log of a fleet (Raft), its storage on disk, and the leases issued by its leader."""
--- a/honeybarrow/consensus/actions.py
+++ b/honeybarrow/consensus/actions.py
@@ -1,4 +1,4 @@
-"""What a member of the log wants done, in order: plain records, no decisions."""
+"""Actions that a Raft node returns to its caller, to be performed in the order returned."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class Role(enum.Enum):
-    """A member's role in the log. Those that do not vote remain followers: they are learners."""
+    """A member's role. A member that does not vote is a learner: it always has the role of a follower."""
 
     FOLLOWER = "follower"
-    PRE_CANDIDATE = "pre-candidate"  # it has heard no leader and asks whether others would vote for it
+    PRE_CANDIDATE = "pre-candidate"  # asks whether the voters would elect it, without starting a new term
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a message to a member; it may be lost, repeated or reordered."""
+    """A message to be sent to a member. The transport may lose, repeat or reorder it."""
 
     recipient: str
     message: Message
@@ -29,10 +29,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistState:
-    """Persist this, in the order of the sequence numbers, then call :meth:`RaftNode.on_persisted`.
+    """An update of the node's state to be persisted.
 
-    ``entries`` replace all from ``first_index`` on (0: none change); ``snapshot`` replaces all up to its
-    index. ``commit_index`` is only a hint: it may lag.
+    Updates are persisted in the order of ``sequence_number``; :meth:`RaftNode.on_persisted` is called
+    afterwards. ``entries`` replace all persisted entries from ``first_index`` on; if ``first_index`` is 0, no
+    entries change. ``snapshot`` replaces all entries up to its ``last_included_index``. ``commit_index`` may
+    be lower than the actual commit index.
     """
 
     sequence_number: int
@@ -46,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplyEntry:
-    """An entry is committed; entries come in order, each once in an incarnation of the process."""
+    """A committed entry to be applied. Entries come in log order, each once per run of the process."""
 
     index: int
     entry: LogEntry
@@ -54,14 +56,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RestoreSnapshot:
-    """The state machine's state is that of the snapshot."""
+    """A snapshot that replaces the state of the state machine."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class RoleChanged:
-    """The role or the known leader has changed."""
+    """A change of the node's role or of its known leader."""
 
     role: Role
     leader: str
@@ -70,7 +72,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DiskRolledBack:
-    """A voter's disk holds less than it once acknowledged: it was restored from a copy and is not trusted."""
+    """The detection of a voter whose disk was restored from an old copy.
+
+    The disk has lost updates that the voter had acknowledged, so the message that showed it is ignored.
+    """
 
     voter_name: str
 
@@ -79,7 +84,7 @@
 
 
 class ProposalResult(NamedTuple):
-    """The log index at which a proposed entry was appended, and what is to be done."""
+    """The log index at which a proposed entry was appended, and the actions to perform."""
 
     log_index: int
     actions: list[Action]
--- a/honeybarrow/consensus/election.py
+++ b/honeybarrow/consensus/election.py
@@ -1,8 +1,9 @@
 """Leader election: pre-vote, votes and the election timer.
 
-Ongaro and Ousterhout 2014 (5.2, 5.4.1); pre-vote and the leader's stickiness: Ongaro's thesis (2014; 4.2.3,
-9.6). Danger: a member that was cut off would depose a leader whom all others hear; so it asks first whether
-others would vote for it, and who hears a leader grants no vote.
+Sources: Ongaro and Ousterhout 2014 (sections 5.2, 5.4.1); for pre-vote and leader stickiness, Ongaro's thesis
+(2014; sections 4.2.3, 9.6). Both keep a member that was partitioned away from deposing a leader that all
+other members hear: a candidate first asks whether the voters would elect it, and a voter that hears a leader
+grants no vote.
 """
 
 from __future__ import annotations
@@ -15,15 +16,15 @@
 
 
 class Election:
-    """A member's part in elections, as a voter and as a candidate."""
+    """One member's elections, as a candidate and as a voter."""
 
     def __init__(self, state: NodeState, replication: LeaderReplication) -> None:
         self.state, self.replication = state, replication
 
-    # as a candidate
+    # --- candidate
 
     def start_pre_vote(self, now_us: int) -> None:
-        """No leader is heard: ask whether the others would grant a vote."""
+        """Ask the voters whether they would grant a vote, because no leader is heard."""
         state = self.state
         state.change_role(Role.PRE_CANDIDATE, "")
         state.election.votes_received = {state.name: None}
@@ -34,7 +35,7 @@
         state.send_to_voters(self._request_vote(state.term + 1, True))
 
     def start_election(self, now_us: int) -> None:
-        """Begin a new term and ask for votes, once the vote for itself is on disk."""
+        """Begin a new term, and request votes once the vote for itself is on disk."""
         state = self.state
         state.term += 1
         state.voted_for = state.name
@@ -45,7 +46,7 @@
         state.send_to_voters(self._request_vote(state.term, False), when_persisted=True)
 
     def on_persisted(self, now_us: int, sequence_number: int) -> None:
-        """Updates up to this one are on disk: a candidate's vote for itself may count now."""
+        """Count a candidate's vote for itself if the update that holds it is on disk."""
         election = self.state.election
         if election.own_vote_sequence and election.own_vote_sequence <= sequence_number:
             election.own_vote_sequence = 0
@@ -67,7 +68,7 @@
             self._count_vote(now_us, sender)
 
     def has_majority(self) -> bool:
-        """Whether a majority of the voters has granted its vote."""
+        """Return whether a majority of the voters has granted its vote."""
         return len(self.state.election.votes_received) > len(self.state.log.voters) // 2
 
     def _count_vote(self, now_us: int, name: str) -> None:
@@ -83,7 +84,7 @@
         log = self.state.log
         return RequestVote(term, is_pre_vote, log.last_index, log.last_term, self.state.identity)
 
-    # as a voter
+    # --- voter
 
     def handle_request(self, now_us: int, sender: str, request: RequestVote) -> None:
         """Grant or refuse a vote or a pre-vote."""
@@ -93,13 +94,16 @@
             self._handle_vote(now_us, sender, request)
 
     def hears_leader(self, now_us: int) -> bool:
-        """Whether a leader was heard so recently that it may rely on it."""
+        """Return whether a leader was heard within the last election timeout.
+
+        A leader hears itself for as long as it is a confirmed leader.
+        """
         if self.state.role is Role.LEADER:
             return self.replication.is_confirmed_leader(now_us)
         return now_us < self.state.election.leader_heard_us + self.state.config.election_timeout_us
 
     def is_log_up_to_date(self, request: RequestVote) -> bool:
-        """Whether the candidate's log is at least as up to date as this one (5.4.1)."""
+        """Return whether the candidate's log is at least as up to date as this one (section 5.4.1)."""
         log = self.state.log
         return (request.last_log_term, request.last_log_index) >= (log.last_term, log.last_index)
 
@@ -114,7 +118,8 @@
     def _handle_vote(self, now_us: int, sender: str, request: RequestVote) -> None:
         state = self.state
         if request.term > state.term and self.hears_leader(now_us):
-            return  # Danger: one that was cut off would depose a leader whom all others hear
+            # A candidate that was partitioned away would otherwise depose a leader that all others hear.
+            return
         if request.term < state.term:
             state.send(sender, RequestVoteReply(state.term, False, False, state.identity))
             return
--- a/honeybarrow/consensus/errors.py
+++ b/honeybarrow/consensus/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the replicated log that reach an operator."""
+"""Errors of the replicated log that are shown to operators."""
 
 from __future__ import annotations
 
@@ -6,16 +6,14 @@
 
 
 class DivergedError(HoneybarrowError):
-    """A member's log contradicts what the fleet has committed; it neither votes nor acts any more."""
+    """A member's log conflicts with the committed log of the fleet; the member stops voting and acting."""
 
     code = "HB501"
-    remedy = (
-        "stop this member, keep its consensus folder for us to look at, and add it again with an empty one"
-    )
+    remedy = "stop this member, keep its consensus folder for analysis, and add it again with an empty folder"
 
 
 class NotLeaderError(HoneybarrowError):
-    """The member asked is not the leader of the fleet's log, or can't reach a majority of the voters."""
+    """The member is not the leader of the fleet's log, or can't reach a majority of the voters."""
 
     code = "HB502"
     remedy = (
@@ -28,7 +26,7 @@
 
 
 class VoterChangeError(HoneybarrowError):
-    """A change of the voters that can't be made at this moment."""
+    """The voters can't be changed as proposed, or not at this time."""
 
     code = "HB503"
     remedy = "wait until the previous change is committed and the member has caught up, and propose it again"
--- a/honeybarrow/consensus/log_entries.py
+++ b/honeybarrow/consensus/log_entries.py
@@ -1,7 +1,7 @@
-"""Entries of the replicated log, its snapshot, and the log itself as a data structure. No I/O, no decisions.
+"""Entries of the replicated log, its snapshot, and the log as a data structure in memory.
 
-Structs are arrays on the wire and in files: the order of their fields and their tags are the format.
-Indices begin at 1; index 0 is the place before the first entry.
+Structs are encoded as arrays on the wire and in files, so their tags and the order of their fields are part
+of the format. Indices begin at 1; index 0 is the position before the first entry.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
     MAX_VOTERS,
 )
 
-ENTRY_OVERHEAD_BYTES = 256  # what an entry without a command is reckoned at in a batch
+ENTRY_OVERHEAD_BYTES = 256  # estimated size, in a batch, of an entry without a command
 
 Name = Annotated[str, Meta(max_length=64)]
 Counter = Annotated[int, Meta(ge=0, le=1 << 62)]
 
 
 class Voter(msgspec.Struct, frozen=True, array_like=True):
-    """A member that votes, and the disk that it votes on: a number drawn when its folder was first used."""
+    """A voting member and the id of its disk, a random number drawn when its folder was first used."""
 
     name: Name
     disk_id: Counter
@@ -37,18 +37,18 @@
 
 
 class Noop(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """The first entry of a leader: once it is committed, so is all before it."""
+    """The first entry of a leader's term. Committing it commits all entries before it."""
 
 
 class Command(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """A command for the state machine. ``proposal_id`` is the same however often a proposal is repeated."""
+    """A command for the state machine. A repeated proposal keeps its ``proposal_id``."""
 
     proposal_id: Name
     data: Annotated[bytes, Meta(max_length=MAX_COMMAND_BYTES)]
 
 
 class VoterConfiguration(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Who votes from here on. It takes effect as soon as it is appended, committed or not."""
+    """The voters from this entry on. It takes effect as soon as it is appended, before it is committed."""
 
     proposal_id: Name
     voters: VoterSet
@@ -58,14 +58,14 @@
 
 
 class LogEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry; its index is its place in the log."""
+    """One entry of the log. Its position in the log is its index."""
 
     term: Counter
     body: EntryBody
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """The state after all entries up to ``last_included_index``."""
+    """The state of the state machine after all entries up to ``last_included_index``, and the voters then."""
 
     last_included_index: Counter = 0
     last_included_term: Counter = 0
@@ -74,7 +74,7 @@
 
 
 class ReplicatedLog:
-    """A snapshot and the entries after it, with the voter configurations that stand among them."""
+    """A snapshot, the entries after it, and the voter configurations that they contain."""
 
     def __init__(self, snapshot: Snapshot, entries: Sequence[LogEntry]) -> None:
         self.snapshot, self.entries = snapshot, list(entries)
@@ -83,7 +83,7 @@
 
     @property
     def first_index(self) -> int:
-        """The index of the first entry that is held."""
+        """The index of the first entry after the snapshot."""
         return self.snapshot.last_included_index + 1
 
     @property
@@ -98,31 +98,31 @@
 
     @property
     def voters(self) -> tuple[Voter, ...]:
-        """Who votes by the newest configuration, committed or not."""
+        """The voters of the newest configuration, committed or not."""
         return self._configurations[-1][1]
 
     @property
     def configuration_index(self) -> int:
-        """Where the newest voter configuration stands."""
+        """The index of the newest voter configuration."""
         return self._configurations[-1][0]
 
     def term_at(self, index: int) -> int | None:
-        """The term of an entry; ``None`` if it is not held."""
+        """Return the term of the entry at this index, or ``None`` if the log does not hold it."""
         if index == self.snapshot.last_included_index:
             return self.snapshot.last_included_term
         offset = index - self.first_index
         return self.entries[offset].term if 0 <= offset < len(self.entries) else None
 
     def entry_at(self, index: int) -> LogEntry:
-        """The entry at this index, which must be held."""
+        """Return the entry at this index, which the log must hold."""
         return self.entries[index - self.first_index]
 
     def voters_at(self, index: int) -> tuple[Voter, ...]:
-        """Who votes by the configurations up to this index."""
-        return [voters for at, voters in self._configurations if at <= index][-1]
+        """Return the voters of the newest configuration up to this index."""
+        return [voters for config_index, voters in self._configurations if config_index <= index][-1]
 
     def get_batch(self, first_index: int, last_index: int) -> tuple[LogEntry, ...]:
-        """As many of these entries, from the first on, as one message may carry."""
+        """Return as many entries, from ``first_index`` up to ``last_index``, as one message may carry."""
         batch: list[LogEntry] = []
         size_bytes = 0
         for entry in self.entries[first_index - self.first_index : last_index - self.first_index + 1]:
@@ -133,7 +133,7 @@
         return tuple(batch)
 
     def append(self, entries: Sequence[LogEntry]) -> int:
-        """Add entries at the end; the index of the first of them."""
+        """Add entries at the end, and return the index of the first of them."""
         first_index = self.last_index + 1
         self.entries += entries
         self._add_configurations(first_index, entries)
@@ -142,26 +142,29 @@
     def truncate_from(self, index: int) -> None:
         """Remove the entry at this index and all after it."""
         del self.entries[index - self.first_index :]
-        kept = [each for each in self._configurations if each[0] < index]
-        self._configurations = kept or self._configurations[:1]
+        remaining = [each for each in self._configurations if each[0] < index]
+        self._configurations = remaining or self._configurations[:1]
 
     def compact(self, index: int, data: bytes) -> Snapshot:
-        """Replace the entries up to this index by a snapshot of the state after them."""
+        """Replace the entries up to this index by a snapshot with the given state, and return it."""
         snapshot = Snapshot(index, self.term_at(index) or 0, self.voters_at(index), data)
         del self.entries[: index - self.snapshot.last_included_index]
         self._use_snapshot(snapshot, [each for each in self._configurations if each[0] > index])
         return snapshot
 
     def restore(self, snapshot: Snapshot) -> bool:
-        """Take a snapshot of another member; whether entries after it, which agree with it, were retained."""
+        """Take over another member's snapshot, and return whether the entries after it were retained.
+
+        They are retained if the entry at the snapshot's last index has the same term here.
+        """
         index = snapshot.last_included_index
         is_retained = self.term_at(index) == snapshot.last_included_term
         if is_retained:
             del self.entries[: index - self.snapshot.last_included_index]
         else:
             self.entries.clear()
-        kept = [each for each in self._configurations if each[0] > index] if self.entries else []
-        self._use_snapshot(snapshot, kept)
+        remaining = [each for each in self._configurations if each[0] > index] if self.entries else []
+        self._use_snapshot(snapshot, remaining)
         return is_retained
 
     def _use_snapshot(self, snapshot: Snapshot, configurations: list[tuple[int, tuple[Voter, ...]]]) -> None:
--- a/honeybarrow/consensus/messages.py
+++ b/honeybarrow/consensus/messages.py
@@ -1,7 +1,7 @@
 """Messages between members of a fleet, as in the Raft paper (Ongaro and Ousterhout 2014, figures 2 and 13).
 
-Structs are arrays on the wire: the order of their fields and their tags are the format. Messages may be lost,
-repeated and reordered.
+Structs are encoded as arrays on the wire, so their tags and the order of their fields are part of the format.
+Messages may be lost, repeated and reordered.
 """
 
 from __future__ import annotations
@@ -20,10 +20,11 @@
 
 
 class VoterIdentity(msgspec.Struct, frozen=True, array_like=True):
-    """What a voter's promise rests on: its disk, its incarnation on it, and how much that disk has persisted.
+    """The disk of a voter, its current incarnation, and how much it has persisted.
 
-    ``incarnation``: how often the disk was started from, times ``1 << INCARNATION_NONCE_BITS``, plus a number
-    drawn at the start. ``persisted_count``: the sequence number of the newest persisted update.
+    ``incarnation`` holds the number of starts from this disk, shifted left by ``INCARNATION_NONCE_BITS``,
+    plus a random number drawn at the start. ``persisted_count`` is the sequence number of the newest
+    persisted update.
     """
 
     disk_id: Counter
@@ -32,7 +33,7 @@
 
 
 class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag=31):
-    """A request for a vote; or, for a pre-vote, the question whether it would be granted."""
+    """A request for a vote, or, as a pre-vote, a query whether the vote would be granted."""
 
     term: Counter
     is_pre_vote: bool
@@ -42,7 +43,7 @@
 
 
 class RequestVoteReply(msgspec.Struct, frozen=True, array_like=True, tag=32):
-    """The reply, for the term that was asked about, or with the higher one that is known to the voter."""
+    """The reply to a vote request. The term of a refusal is the voter's own, which may be the later one."""
 
     term: Counter
     is_pre_vote: bool
@@ -51,7 +52,7 @@
 
 
 class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag=33):
-    """Entries after ``prev_log_index``, or none: a heartbeat. ``round_number`` comes back in the reply."""
+    """Entries after ``prev_log_index``; a heartbeat has none. The reply repeats ``round_number``."""
 
     term: Counter
     round_number: Counter
@@ -62,9 +63,11 @@
 
 
 class AppendEntriesReply(msgspec.Struct, frozen=True, array_like=True, tag=34):
-    """On success all entries up to ``match_index`` are the leader's and persisted; else none after it can be.
+    """The reply to :class:`AppendEntries` or :class:`InstallSnapshot`.
 
-    ``wall_clock_us``: the follower's wall clock, for dates that a majority has to find past.
+    On success, the follower's entries up to ``match_index`` match the leader's and are persisted. Otherwise
+    no entry after ``match_index`` can match. ``wall_clock_us`` is the follower's wall clock; the leader uses
+    it to decide whether a majority of the voters considers a date past.
     """
 
     term: Counter
@@ -76,7 +79,7 @@
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag=35):
-    """A snapshot in place of entries that the leader no longer holds."""
+    """A snapshot, sent in place of entries that the leader no longer holds."""
 
     term: Counter
     round_number: Counter
@@ -84,13 +87,16 @@
 
 
 class FetchCommitted(msgspec.Struct, frozen=True, array_like=True, tag=36):
-    """A request for committed entries after ``after_index``, to any member."""
+    """A request for committed entries after ``after_index``, which any member can answer."""
 
     after_index: Counter
 
 
 class FetchCommittedReply(msgspec.Struct, frozen=True, array_like=True, tag=37):
-    """Committed entries after ``prev_log_index``; with the snapshot before them where entries are gone."""
+    """Committed entries after ``prev_log_index``.
+
+    ``snapshot`` is set if requested entries before them were compacted.
+    """
 
     prev_log_index: Counter
     entries: EntryBatch
--- a/honeybarrow/consensus/node.py
+++ b/honeybarrow/consensus/node.py
@@ -1,27 +1,28 @@
-"""One member of the replicated log: one order of entries that all members agree on, however links and disks
-fail.
-
-Raft, sans-I/O: messages, times and notifications of the disk come in, actions come out, in order. A few
-members *vote*; the others *learn* what is committed from any member that has more. What is taken of the
-published work:
-
-- terms, votes, appending and commit, snapshots, voters changed one at a time, pre-vote, a leader that steps
-  down without a majority: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014),
-  and Ongaro's thesis (2014; 4.2.3, 6.2, 9.6), with the correction of 2015 that a leader changes voters only
-  once an entry of its own term is committed;
-- a voter that lost its disk is another one: Liskov and Cowling, "Viewstamped Replication Revisited" (2012).
-  So a voter is a name with the *disk* that it votes on, and a vote of another disk counts for nothing. A disk
-  that was restored from an old copy is detected by the count of what it had persisted, see
+"""One member of the replicated log, which all members hold in the same order.
+
+This is a sans-I/O implementation of Raft: messages, times and notifications of disk writes come in, and an
+ordered list of actions comes out. A few members are *voters*; all others are *learners*, which fetch
+committed entries from any member that has more. The design follows published work:
+
+- Terms, votes, log replication, snapshots, voters changed one at a time, pre-vote, and leaders that step down
+  without a majority: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014), and
+  Ongaro's thesis (2014; sections 4.2.3, 6.2, 9.6). The correction of 2015 is included: a leader changes the
+  voters only once an entry of its own term is committed.
+- A voter that lost its disk counts as a different voter: Liskov and Cowling, "Viewstamped Replication
+  Revisited" (2012). A voter is therefore identified by its name and its *disk id*, and the vote of a voter
+  with another disk does not count. A disk that was restored from an old copy is detected by
   :class:`~honeybarrow.consensus.incarnations.IncarnationTracker`.
 
-Danger, and where it is met. A vote, or the acknowledgement of entries, sent before it is on disk: such
-messages are deferred in the :class:`~honeybarrow.consensus.outbox.Outbox` until the disk has confirmed. A
-leader cut off one way: it hears no majority and steps down; a member that hears a leader grants no vote, so
-one that hears nobody deposes nobody. A voter that starts again has forgotten whom it heard, so it waits as if
-it had just heard a leader: the leader's own lease, and those that it issues to members (``leases.py``), rest
-on that.
+Safety rules:
 
-Times are microseconds of this process's monotone clock. No clock decides what is committed.
+- A vote or an acknowledgement of entries is sent only once it is on disk: the
+  :class:`~honeybarrow.consensus.outbox.Outbox` defers such messages until the write is confirmed.
+- A leader that receives no replies from a majority steps down, which covers links that fail in one direction.
+- A voter that hears a leader grants no vote, so a partitioned member can't depose that leader.
+- A restarted voter waits as if it had just heard a leader, since it no longer knows when it last did. The
+  leader's own lease, and those that it issues to members (``leases.py``), depend on this wait.
+
+Times are in microseconds of this process's monotonic clock. No clock affects which entries are committed.
 """
 
 from __future__ import annotations
@@ -58,9 +59,13 @@
 
 
 class RaftNode:
-    """One member. Feed it events, perform the actions, and call :meth:`on_timer` at ``next_wakeup_us``."""
+    """One member of the log.
+
+    The caller passes in events, performs the returned actions, and calls :meth:`on_timer` at
+    ``next_wakeup_us``.
+    """
 
-    # What it is composed of; replaced by tests that take out one guard.
+    # The component classes. Tests substitute classes that lack one safety check.
     state_type = NodeState
     leader_type = LeaderReplication
     follower_type = FollowerReplication
@@ -85,7 +90,7 @@
         self.follower_replication = self.follower_type(state)
         self.election = self.election_type(state, self.leader_replication)
 
-    # queries
+    # --- queries
 
     @property
     def name(self) -> str:
@@ -104,12 +109,12 @@
 
     @property
     def leader(self) -> str:
-        """The known leader's name; empty if none is known."""
+        """The name of the known leader, or an empty string."""
         return self.state.leader
 
     @property
     def log(self) -> ReplicatedLog:
-        """Entries and snapshot, to be read only."""
+        """The entries and the snapshot. Callers must not change them."""
         return self.state.log
 
     @property
@@ -119,62 +124,70 @@
 
     @property
     def last_applied(self) -> int:
-        """The index of the last entry that was handed out to be applied."""
+        """The index of the last entry that was returned to be applied."""
         return self.state.last_applied
 
     @property
     def voters(self) -> tuple[Voter, ...]:
-        """Who votes, by the newest configuration in this log, committed or not."""
+        """The voters of the newest configuration in this log, committed or not."""
         return self.state.log.voters
 
     @property
     def is_voter(self) -> bool:
-        """Whether this member votes, on this disk."""
+        """Whether this member, with its current disk, is a voter."""
         return self.state.is_voter
 
     @property
     def next_wakeup_us(self) -> int:
-        """When to call :meth:`on_timer`, if nothing happens before."""
+        """The time at which to call :meth:`on_timer`, unless another event comes first."""
         if self.state.role is Role.LEADER:
             return self.state.leadership.heartbeat_due_us
         return self.state.election.due_us if self.state.is_voter else NEVER_US
 
     def is_confirmed_leader(self, now_us: int) -> bool:
-        """Whether it leads for certain: no other leader can have been elected by now."""
+        """Return whether this member leads and no other leader can have been elected by now."""
         return self.leader_replication.is_confirmed_leader(now_us)
 
     def is_ready_leader(self, now_us: int) -> bool:
-        """Whether it leads for certain and knows all that is committed: its own first entry is."""
+        """Return whether this member is a confirmed leader that has committed the first entry of its term.
+
+        Such a leader knows all committed entries.
+        """
         is_caught_up = self.state.commit_index >= self.state.leadership.first_own_index
         return self.is_confirmed_leader(now_us) and is_caught_up
 
     def is_past_for_majority(self, now_us: int, date_us: int, own_wall_clock_us: int) -> bool:
-        """Whether a majority of the voters finds this wall-clock time past. One wrong clock is not enough."""
+        """Return whether this wall-clock time is past by the clocks of a majority of the voters."""
         return self.leader_replication.is_past_for_majority(now_us, date_us, own_wall_clock_us)
 
     def hears_leader(self, now_us: int) -> bool:
-        """Whether a leader was heard so recently that it may rely on it."""
+        """Return whether a leader was heard within the last election timeout.
+
+        A leader hears itself for as long as it is a confirmed leader.
+        """
         return self.election.hears_leader(now_us)
 
-    # events
+    # --- events
 
     def start(self) -> list[Action]:
-        """What the folder held, to be applied first."""
+        """Return the actions that apply the persisted state. Call this once, before any event."""
         return self.state.outbox.take_actions()
 
     def bootstrap(self, voters: Sequence[Voter], fleet_id: str) -> list[Action]:
-        """Begin a new fleet, an operator's act: a log whose first entry names the voters.
+        """Create the log of a new fleet, at an operator's request. Its first entry names the voters.
 
-        :raises VoterChangeError: if there is a log already.
+        :raises VoterChangeError: if this member already has a log.
         """
         if self.state.log.last_index or self.state.term:
-            raise VoterChangeError("this member has a log already", "a fleet is begun once")
+            raise VoterChangeError(
+                f"member {self.state.name!r} already has a log", "a fleet can be bootstrapped only once"
+            )
         self.state.term = 1
         self.state.append([LogEntry(1, VoterConfiguration(fleet_id, tuple(voters)))])
         return self.state.outbox.take_actions()
 
     def on_timer(self, now_us: int) -> list[Action]:
-        """Heartbeats or an election may be due."""
+        """Send heartbeats, step down or start an election if due."""
         if self.state.role is Role.LEADER:
             self.leader_replication.on_timer(now_us)
         elif self.state.is_voter and now_us >= self.state.election.due_us:
@@ -182,9 +195,10 @@
         return self.state.outbox.take_actions()
 
     def on_message(self, now_us: int, sender: str, message: Message, wall_clock_us: int = 0) -> list[Action]:
-        """A message came from a member; ``wall_clock_us``: this process's own wall clock.
+        """Handle a message of another member. ``wall_clock_us`` is this process's own wall clock.
 
-        :raises DivergedError: if it contradicts what is committed here.
+        :raises DivergedError: if the message conflicts with entries that are committed here, or shows a
+            second leader of the same term.
         """
         if isinstance(message, RequestVote | RequestVoteReply | AppendEntriesReply) and not self._is_trusted(
             sender, message.identity
@@ -208,7 +222,7 @@
         return self.state.outbox.take_actions()
 
     def on_persisted(self, now_us: int, sequence_number: int) -> list[Action]:
-        """All updates up to this one are on disk."""
+        """Record that all updates up to ``sequence_number`` are on disk."""
         self.state.outbox.mark_persisted(sequence_number)
         if self.state.role is Role.CANDIDATE:
             self.election.on_persisted(now_us, sequence_number)
@@ -217,14 +231,14 @@
         return self.state.outbox.take_actions()
 
     def propose(self, now_us: int, body: EntryBody) -> ProposalResult:
-        """Append an entry. It is committed once :class:`ApplyEntry` says so, if ever.
+        """Append an entry. It is committed once an :class:`ApplyEntry` action with it is returned, if ever.
 
         :raises NotLeaderError: if this member is not the leader.
-        :raises VoterChangeError: for a change of the voters that can't be made now.
+        :raises VoterChangeError: if the voters can't be changed as proposed, or not yet.
         """
         state = self.state
         if state.role is not Role.LEADER:
-            raise NotLeaderError(f"{state.name} is not the leader", state.leader)
+            raise NotLeaderError(f"member {state.name!r} is not the leader", state.leader)
         if isinstance(body, VoterConfiguration):
             self.leader_replication.check_voter_change(body.voters)
         state.append([LogEntry(state.term, body)])
@@ -233,14 +247,17 @@
         return ProposalResult(state.log.last_index, state.outbox.take_actions())
 
     def compact(self, index: int, data: bytes) -> list[Action]:
-        """Replace the entries up to ``index``, all of them applied, by a snapshot of the state after them."""
+        """Replace the applied entries up to ``index`` by a snapshot with the given state.
+
+        Nothing changes if ``index`` is compacted already or not applied yet.
+        """
         if not self.state.log.first_index <= index <= self.state.last_applied:
             return []
         self.state.persist(snapshot=self.state.log.compact(index, data))
         return self.state.outbox.take_actions()
 
     def _is_trusted(self, sender: str, identity: VoterIdentity) -> bool:
-        if len(self.incarnations) >= MAX_TRACKED_INCARNATIONS:  # messages of many that do not vote
+        if len(self.incarnations) >= MAX_TRACKED_INCARNATIONS:  # too many senders that are not voters
             self.incarnations.retain_only(self.state.log.voters)
         check = self.incarnations.check_identity(sender, identity)
         if check is IdentityCheck.ROLLED_BACK:
--- a/honeybarrow/consensus/persistent_state.py
+++ b/honeybarrow/consensus/persistent_state.py
@@ -1,4 +1,4 @@
-"""The state that a member must have on disk: term, vote, entries and snapshot (Raft paper, figure 2)."""
+"""The state that a member keeps on disk: term, vote, entries and snapshot (Raft paper, figure 2)."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 @dataclass(slots=True)
 class PersistentState:
-    """What a folder holds: all updates up to ``sequence_number``, applied one after another."""
+    """The state on disk after all updates up to ``sequence_number``."""
 
     term: int = 0
     voted_for: str = ""
     commit_index: int = 0
     snapshot: Snapshot = field(default_factory=Snapshot)
     entries: list[LogEntry] = field(default_factory=list)
-    sequence_number: int = 0  # of the last update
+    sequence_number: int = 0  # number of the last update
 
     def apply_update(self, update: PersistState) -> None:
-        """Change to what the folder holds once this update is persisted too."""
+        """Apply one more update."""
         self.term, self.voted_for = update.term, update.voted_for
         self.commit_index, self.sequence_number = update.commit_index, update.sequence_number
         if update.snapshot is not None:
@@ -32,7 +32,7 @@
             self.entries += update.entries
 
     def to_single_update(self) -> PersistState:
-        """One update that contains all of it."""
+        """Return a single update that contains the whole state."""
         return PersistState(
             self.sequence_number,
             self.term,
@@ -44,7 +44,7 @@
         )
 
     def copy(self) -> PersistentState:
-        """Another one with the same content, which can be updated apart."""
+        """Return a copy that can be updated independently."""
         return PersistentState(
             self.term,
             self.voted_for,
--- a/honeybarrow/consensus/replication.py
+++ b/honeybarrow/consensus/replication.py
@@ -1,8 +1,8 @@
-"""Log replication: the leader's side, and that of followers and learners.
+"""Log replication, on the leader and on followers and learners.
 
-Ongaro and Ousterhout 2014 (5.3, 5.4.2, 7); a leader that steps down without a majority: Ongaro's thesis
-(2014; 6.2); voters changed one at a time: its 4.1, with the correction of 2015 that a leader changes them
-only once an entry of its own term is committed.
+Sources: Ongaro and Ousterhout 2014 (sections 5.3, 5.4.2, 7); Ongaro's thesis (2014) for leaders that step
+down without a majority (section 6.2) and for voters changed one at a time (section 4.1), with the correction
+of 2015 that a leader changes them only once an entry of its own term is committed.
 """
 
 from __future__ import annotations
@@ -24,26 +24,29 @@
 
 
 class LeaderReplication:
-    """A leader's side: heartbeats, entries for the other voters, and the commit index."""
+    """Replication on the leader: heartbeats, entries for the other voters, and the commit index."""
 
     def __init__(self, state: NodeState) -> None:
         self.state = state
 
-    # the leader's certainty
+    # --- leadership confirmation
 
     def is_confirmed_leader(self, now_us: int) -> bool:
-        """Whether it leads for certain: no other leader can have been elected by now."""
+        """Return whether this member leads and no other leader can have been elected by now."""
         return self.state.role is Role.LEADER and now_us < self.lease_end_us()
 
     def lease_end_us(self) -> int:
-        """Until when no other leader can be elected, by the acknowledgements of a majority."""
+        """Return the time until which the acknowledgements of a majority rule out another leader."""
         acknowledged_us = [self._last_acknowledged_us(voter) for voter in self.state.log.voters]
         if not acknowledged_us:
             return -NEVER_US
         return self.get_majority_value(acknowledged_us) + self.state.config.leader_lease_us
 
     def is_past_for_majority(self, now_us: int, date_us: int, own_wall_clock_us: int) -> bool:
-        """Whether a majority of the voters finds this wall-clock time past. One wrong clock is not enough."""
+        """Return whether this wall-clock time is past by the clocks of a majority of the voters.
+
+        A single wrong clock can't decide it, unless there is only one voter.
+        """
         state = self.state
         agreeing = 0
         for voter in state.log.voters:
@@ -53,13 +56,13 @@
             peer = state.leadership.peers.get(voter.name)
             if peer is not None and peer.wall_clock is not None:
                 elapsed_us = now_us - peer.wall_clock.received_us
-                # By a slow clock: it must not be found past too early.
-                passed_us = int(elapsed_us * (1 - state.config.max_clock_drift))
-                agreeing += peer.wall_clock.wall_clock_us + passed_us >= date_us
+                # Assume the slowest possible clock, so that the date never counts as past too early.
+                min_elapsed_us = int(elapsed_us * (1 - state.config.max_clock_drift))
+                agreeing += peer.wall_clock.wall_clock_us + min_elapsed_us >= date_us
         return agreeing > len(state.log.voters) // 2
 
     def get_majority_value(self, values: list[int]) -> int:
-        """What a majority of these is at least."""
+        """Return the highest value that a majority of the values reaches."""
         return sorted(values, reverse=True)[len(values) // 2]
 
     def _last_acknowledged_us(self, voter: Voter) -> int:
@@ -68,10 +71,10 @@
         peer = self.state.leadership.peers.get(voter.name)
         return peer.last_acknowledged_us if peer is not None else -NEVER_US
 
-    # sending
+    # --- sending
 
     def become_leader(self, now_us: int) -> None:
-        """Lead from now on: append an entry of the new term and send it to all voters."""
+        """Become leader: append the first entry of the new term and send it to all voters."""
         state, leadership = self.state, self.state.leadership
         state.change_role(Role.LEADER, state.name)
         leadership.since_us = now_us
@@ -87,16 +90,16 @@
     def on_timer(self, now_us: int) -> None:
         """Send heartbeats when they are due, or step down if no majority replies."""
         state, timeout_us = self.state, self.state.config.election_timeout_us
-        is_settled = now_us >= state.leadership.since_us + 2 * timeout_us
-        if now_us >= self.lease_end_us() + timeout_us and is_settled:
-            # Danger: cut off one way, it would remain leader for as long as nobody deposes it.
+        is_established = now_us >= state.leadership.since_us + 2 * timeout_us
+        if now_us >= self.lease_end_us() + timeout_us and is_established:
+            # A leader that can send but not receive would otherwise remain leader indefinitely.
             state.change_role(Role.FOLLOWER, "")
             state.election.due_us = now_us + state.draw_election_timeout_us()
         elif now_us >= state.leadership.heartbeat_due_us:
             self.send_heartbeats(now_us)
 
     def send_heartbeats(self, now_us: int) -> None:
-        """Send each voter the entries that it lacks, or none."""
+        """Send each voter the entries that it lacks, or an empty heartbeat."""
         state, leadership = self.state, self.state.leadership
         leadership.heartbeat_due_us = now_us + state.config.heartbeat_interval_us
         leadership.round_number += 1
@@ -125,10 +128,10 @@
             ),
         )
 
-    # replies
+    # --- replies
 
     def handle_reply(self, now_us: int, sender: str, reply: AppendEntriesReply) -> None:
-        """Record a voter's progress, commit what a majority has, and send what the voter still lacks."""
+        """Record a voter's progress, advance the commit index, and send the entries that it still lacks."""
         state = self.state
         if reply.term > state.term:
             state.observe_term(reply.term)
@@ -148,8 +151,8 @@
     def _record_reply(self, now_us: int, sender: str, peer: PeerProgress, reply: AppendEntriesReply) -> None:
         state = self.state
         if Voter(sender, reply.identity.disk_id) not in state.log.voters:
-            # Danger: a voter that lost its disk has not what it once acknowledged; what it has now counts for
-            # nothing before it is added again. But it is sent entries: without the log it can't come back.
+            # The voter has lost its disk, and with it the entries that it acknowledged. Its replies do not
+            # count until it is added again, but it is sent entries, since it needs the log to be added.
             peer.match_index = 0
             return
         sent_us = state.leadership.round_sent_us.get(reply.round_number, -NEVER_US)
@@ -159,18 +162,21 @@
             peer.match_index = max(peer.match_index, reply.match_index)
 
     def advance_commit_index(self) -> None:
-        """Commit what a majority has on disk; earlier terms' entries only along with one of this (5.4.2)."""
+        """Commit the entries that a majority has on disk.
+
+        Entries of earlier terms are committed only together with one of the current term (section 5.4.2).
+        """
         state = self.state
         match_indices = [self._match_index(voter) for voter in state.log.voters]
         index = self.get_majority_value(match_indices) if match_indices else 0
         if index > state.commit_index and self.is_of_current_term(index):
             state.commit_up_to(index)
             if not state.is_voter and state.log.configuration_index <= state.commit_index:
-                # It led until the configuration was committed by which it votes no more.
+                # The committed configuration removed this leader from the voters.
                 state.change_role(Role.FOLLOWER, "")
 
     def is_of_current_term(self, index: int) -> bool:
-        """Whether the entry at this index is of the current term."""
+        """Return whether the entry at this index is of the current term."""
         return self.state.log.term_at(index) == self.state.term
 
     def _match_index(self, voter: Voter) -> int:
@@ -181,27 +187,35 @@
         return peer.match_index if peer is not None else 0
 
     def check_voter_change(self, voters: tuple[Voter, ...]) -> None:
-        """Check that the voters may be changed to these now.
+        """Check that the voters may now be changed to ``voters``.
 
-        :raises VoterChangeError: if not.
+        :raises VoterChangeError: if the proposed voters are invalid, or an earlier entry has to be committed
+            first.
         """
         state, current = self.state, self.state.log.voters
         names = [voter.name for voter in voters]
         if not 1 <= len(names) <= MAX_VOTERS or len(dict.fromkeys(names)) < len(names):
-            raise VoterChangeError("the voters", f"each once, and 1 to {MAX_VOTERS} of them")
+            raise VoterChangeError(
+                f"proposed voters {names}", f"there must be 1 to {MAX_VOTERS} voters, each named once"
+            )
         changed = [v for v in voters if v not in current] + [v for v in current if v not in voters]
         if len(changed) != 1:
-            # Danger: two majorities, of the old voters and of the new, need not share a member.
-            raise VoterChangeError("the voters", "they change by one at a time, added or removed")
+            # Majorities of the old and the new voters would not necessarily overlap.
+            raise VoterChangeError(
+                f"proposed voters {names}",
+                f"they differ from the current voters, by name or disk, in {len(changed)} voters; "
+                "a change must add or remove exactly one",
+            )
         is_previous_open = state.log.configuration_index > state.commit_index
         if is_previous_open or state.commit_index < state.leadership.first_own_index:
             raise VoterChangeError(
-                "the voters", "the change before, or this leader's first entry, is not committed yet"
+                f"proposed voters {names}",
+                "the previous change of the voters, or the first entry of this leader, is not committed yet",
             )
 
 
 class FollowerReplication:
-    """The side of followers, and of learners, who fetch committed entries from any member."""
+    """Replication on followers, and on learners, which fetch committed entries from any member."""
 
     def __init__(self, state: NodeState) -> None:
         self.state = state
@@ -209,14 +223,14 @@
     def handle_append_entries(
         self, now_us: int, sender: str, request: AppendEntries, wall_clock_us: int
     ) -> None:
-        """Take a leader's entries if they follow on one that is here."""
+        """Append a leader's entries if this log holds the entry that precedes them."""
         state, log = self.state, self.state.log
         if not self._accept_leader(now_us, sender, request.term):
             self._reply(sender, request.round_number, False, log.last_index, wall_clock_us)
             return
         prev_log_index, entries = request.prev_log_index, request.entries
         if prev_log_index < log.snapshot.last_included_index:
-            # What a snapshot holds is committed, and so the leader's.
+            # The entries in the snapshot are committed, so the leader has the same ones.
             entries = entries[log.snapshot.last_included_index - prev_log_index :]
             prev_log_index = log.snapshot.last_included_index
         elif log.term_at(prev_log_index) != request.prev_log_term:
@@ -231,7 +245,7 @@
     def handle_install_snapshot(
         self, now_us: int, sender: str, request: InstallSnapshot, wall_clock_us: int
     ) -> None:
-        """Take a leader's snapshot."""
+        """Restore a leader's snapshot."""
         state = self.state
         if not self._accept_leader(now_us, sender, request.term):
             self._reply(sender, request.round_number, False, state.log.last_index, wall_clock_us)
@@ -241,7 +255,7 @@
         self._reply_when_persisted(sender, request.round_number, index, wall_clock_us)
 
     def handle_fetch(self, sender: str, request: FetchCommitted) -> None:
-        """Send what is committed after an index, if there is anything."""
+        """Send the committed entries after the requested index, if there are any."""
         log, commit_index = self.state.log, self.state.commit_index
         has_gap = request.after_index < log.snapshot.last_included_index
         snapshot = log.snapshot if has_gap else None
@@ -251,7 +265,7 @@
             self.state.send(sender, FetchCommittedReply(prev_log_index, entries, commit_index, snapshot))
 
     def handle_fetch_reply(self, reply: FetchCommittedReply) -> None:
-        """Take committed entries from any member."""
+        """Append and apply committed entries that another member sent."""
         state, log = self.state, self.state.log
         if reply.snapshot is not None:
             state.restore_snapshot(reply.snapshot)
@@ -260,25 +274,31 @@
             entries = entries[log.snapshot.last_included_index - prev_log_index :]
             prev_log_index = log.snapshot.last_included_index
         if prev_log_index > state.commit_index or not entries:
-            return  # what stands here after the commit index may not be the fleet's
+            return  # local entries after the commit index may differ from the committed ones
         self._merge_entries(prev_log_index, entries)
         state.commit_up_to(min(reply.commit_index, prev_log_index + len(entries)))
 
     def _accept_leader(self, now_us: int, sender: str, term: int) -> bool:
-        """Whether a leader's message of this term is to be followed."""
+        """Follow the sender of a leader's message, unless its term is outdated.
+
+        :raises DivergedError: if this member leads the same term.
+        """
         state = self.state
         if term < state.term:
             return False
         state.observe_term(term)
         if state.role is Role.LEADER:
-            raise DivergedError(f"two leaders of term {term}: {state.name} and {sender}")
+            raise DivergedError(f"term {term} has two leaders: {state.name!r} and {sender!r}")
         state.change_role(Role.FOLLOWER, sender)
         state.election.leader_heard_us = now_us
         state.election.due_us = now_us + state.draw_election_timeout_us()
         return True
 
     def _find_possible_match(self, prev_log_index: int, prev_log_term: int) -> int:
-        """No entry after this one can be the leader's: entries of a conflicting term are skipped at once."""
+        """Return an index after which no entry can match the leader's log.
+
+        All entries of a conflicting term are skipped in one step.
+        """
         state, log = self.state, self.state.log
         index = min(log.last_index, prev_log_index - 1)
         term = log.term_at(index)
@@ -287,14 +307,20 @@
         return index
 
     def _merge_entries(self, prev_log_index: int, entries: Sequence[LogEntry]) -> None:
-        """Add entries after ``prev_log_index``, which is here; those that conflict, and all after, go."""
+        """Add the entries after ``prev_log_index``, which this log holds.
+
+        Existing entries from the first conflict on are removed.
+        """
         state, log = self.state, self.state.log
         for offset, entry in enumerate(entries):
             index = prev_log_index + 1 + offset
             if log.term_at(index) == entry.term:
                 continue
             if index <= state.commit_index:
-                raise DivergedError(f"{state.name}: entry {index} is committed and comes otherwise")
+                raise DivergedError(
+                    f"member {state.name!r}: entry {index} is committed with term {log.term_at(index)}, "
+                    f"but was received with term {entry.term}"
+                )
             state.truncate_from(index)
             state.append(list(entries[offset:]))
             return
--- a/honeybarrow/consensus/state.py
+++ b/honeybarrow/consensus/state.py
@@ -1,6 +1,6 @@
-"""The state of one member of the log that election and replication share, and the changes both make to it.
+"""The state of one member of the log, shared by its election and replication components.
 
-Times are microseconds of this process's monotone clock.
+Times are in microseconds of this process's monotonic clock.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WallClockReading:
-    """A voter's wall clock, and when it was received by the leader's monotone clock."""
+    """A voter's wall clock, and when the leader received it by its own monotonic clock."""
 
     wall_clock_us: int
     received_us: int
@@ -35,38 +35,38 @@
 
 @dataclass(slots=True)
 class PeerProgress:
-    """What a leader knows of another voter."""
+    """The replication progress of another voter, as known to the leader."""
 
     next_index: int
     match_index: int = 0
-    last_acknowledged_us: int = -NEVER_US  # when the newest round was sent that it replied to
+    last_acknowledged_us: int = -NEVER_US  # sending time of the newest acknowledged round
     wall_clock: WallClockReading | None = None
 
 
 @dataclass(slots=True)
 class ElectionState:
-    """Of a follower and a candidate."""
+    """The election timer of a follower, and the votes for a candidate."""
 
-    leader_heard_us: int  # when a leader was heard last
-    due_us: int  # when to stand for election, if no leader is heard before
+    leader_heard_us: int  # time of the last message of a leader
+    due_us: int  # time of the next election, if no leader is heard before
     votes_received: dict[str, None] = field(default_factory=dict)
-    own_vote_sequence: int = 0  # the update that persists the candidate's vote for itself
+    own_vote_sequence: int = 0  # number of the update with the candidate's vote for itself; 0 if none
 
 
 @dataclass(slots=True)
 class LeaderState:
-    """Of a leader."""
+    """The state that only a leader uses."""
 
     peers: dict[str, PeerProgress] = field(default_factory=dict)
     round_number: int = 0
-    round_sent_us: OrderedDict[int, int] = field(default_factory=OrderedDict)
+    round_sent_us: OrderedDict[int, int] = field(default_factory=OrderedDict)  # by round number
     heartbeat_due_us: int = NEVER_US
-    since_us: int = 0  # when it became leader
-    first_own_index: int = 0  # the index of its first entry
+    since_us: int = 0  # time of the election
+    first_own_index: int = 0  # index of the first entry of its term
 
 
 class NodeState:
-    """One member's state: its log, term, vote and role, and what is to be done."""
+    """One member's log, term, vote, role and pending actions."""
 
     def __init__(
         self,
@@ -85,8 +85,8 @@
         self.role, self.leader = Role.FOLLOWER, ""
         self.commit_index = self.last_applied = persistent.snapshot.last_included_index
         self.outbox = Outbox(persistent.sequence_number, self.log.last_index)
-        # Danger: what it promised by hearing a leader before it was started again it has forgotten. So it
-        # waits as if it had just heard one.
+        # A leader heard before the restart may still rely on this voter to grant no other votes, so the voter
+        # waits as if it had just heard a leader.
         self.election = ElectionState(now_us, now_us + self.draw_election_timeout_us())
         self.leadership = LeaderState()
         if persistent.snapshot.last_included_index:
@@ -95,26 +95,26 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this member votes, on this disk."""
+        """Whether this member, with its current disk, is a voter."""
         return Voter(self.name, self.disk_id) in self.log.voters
 
     @property
     def identity(self) -> VoterIdentity:
-        """What this member's promises rest on."""
+        """The disk and incarnation that this member's messages carry."""
         return VoterIdentity(self.disk_id, self.incarnation, self.outbox.persisted_sequence)
 
     def draw_election_timeout_us(self) -> int:
-        """The election timeout with its random part."""
+        """Return a randomized election timeout."""
         return self.config.election_timeout_us + self.rng.randrange(self.config.election_jitter_us)
 
     def draw_vote_timeout_us(self) -> int:
-        """How long a candidate waits for votes, with its random part."""
+        """Return a randomized time that a candidate waits for votes."""
         return self.config.vote_timeout_us + self.rng.randrange(self.config.election_jitter_us)
 
-    # role and term
+    # --- role and term
 
     def change_role(self, role: Role, leader: str) -> None:
-        """Take a role and a leader; what belongs to the one before is dropped."""
+        """Change the role and the known leader, and reset the state of the previous role."""
         if (role, leader) == (self.role, self.leader):
             return
         self.role, self.leader = role, leader
@@ -125,13 +125,13 @@
         self.outbox.add(RoleChanged(role, leader, self.term))
 
     def observe_term(self, term: int) -> None:
-        """Another member's term: a later one ends the role held in this one."""
+        """Adopt a later term of another member and become a follower."""
         if term > self.term:
             self.term, self.voted_for = term, ""
             self.change_role(Role.FOLLOWER, "")
             self.persist()
 
-    # the log
+    # --- log
 
     def append(self, entries: Sequence[LogEntry]) -> None:
         """Add entries at the end and have them persisted."""
@@ -144,11 +144,11 @@
         self.outbox.limit_persisted_index(index - 1)
 
     def restore_snapshot(self, snapshot: Snapshot) -> None:
-        """Take another member's snapshot, if it is newer than what is committed here."""
+        """Restore another member's snapshot if it is newer than the committed entries."""
         if snapshot.last_included_index <= self.commit_index:
             return
         is_retained = self.log.restore(snapshot)
-        # What stands after the snapshot on the disk is removed there too, unless it was retained.
+        # Entries after the snapshot that were not retained are removed from the disk as well.
         first_index = 0 if is_retained else snapshot.last_included_index + 1
         self.commit_index = self.last_applied = snapshot.last_included_index
         self.outbox.limit_persisted_index(self.log.last_index)
@@ -156,18 +156,21 @@
         self.persist(first_index, snapshot=snapshot)
 
     def commit_up_to(self, index: int) -> None:
-        """Entries up to this one are committed: have them applied."""
+        """Mark the entries up to this index as committed, and have them applied."""
         self.commit_index = max(self.commit_index, index)
         while self.last_applied < self.commit_index:
             self.last_applied += 1
             self.outbox.add(ApplyEntry(self.last_applied, self.log.entry_at(self.last_applied)))
 
-    # what is to be done
+    # --- actions
 
     def persist(
         self, first_index: int = 0, entries: tuple[LogEntry, ...] = (), snapshot: Snapshot | None = None
     ) -> int:
-        """Have the state persisted, with these entries from ``first_index`` on; its sequence number."""
+        """Have the state persisted with these entries from ``first_index`` on.
+
+        Return the sequence number of the update.
+        """
         sequence_number = self.outbox.last_sequence + 1
         update = PersistState(
             sequence_number, self.term, self.voted_for, self.commit_index, first_index, entries, snapshot
@@ -176,15 +179,15 @@
         return sequence_number
 
     def send(self, recipient: str, message: Message) -> None:
-        """Send a message that rests on nothing that is not on disk."""
+        """Send a message that does not depend on pending disk writes."""
         self.outbox.add(SendMessage(recipient, message))
 
     def send_when_persisted(self, recipient: str, message: Message) -> None:
-        """Send a message that rests on all updates so far, once they are on disk."""
+        """Send a message once all updates so far are on disk."""
         self.outbox.add_when_persisted(SendMessage(recipient, message), self.outbox.last_sequence)
 
     def send_to_voters(self, message: Message, when_persisted: bool = False) -> None:
-        """Send to all other voters."""
+        """Send a message to all other voters."""
         send = self.send_when_persisted if when_persisted else self.send
         for voter in self.log.voters:
             if voter.name != self.name:
--- a/honeybarrow/consensus/store.py
+++ b/honeybarrow/consensus/store.py
@@ -1,13 +1,13 @@
-"""What a member persists of the log, in a folder of its own: term, vote, entries and snapshot, written by a
-thread.
+"""Storage of a member's term, vote, entries and snapshot in a folder, written by a separate thread.
 
-``disk``: the number of this disk and how often it was started from. ``log``: one update a record, each with
-its length and a checksum; on a snapshot, and at a start, the file is rewritten as one record and put in place
-of the old one. An update counts as persisted once the file was synced.
+The folder holds two data files. ``disk`` contains the disk id and the number of starts from it. ``log``
+contains one record per update, each with its length and a checksum. On a snapshot and at each start, the log
+is rewritten as a single record that atomically replaces the old file. An update counts as persisted once the
+file is synced.
 
-A start reads records to the last whole one. A tail that was being written when the process died is cut off:
-it was never acknowledged. Anything else that can't be read is corruption, and a voter whose disk is corrupted
-does not vote by what is left of it (:class:`StoreCorruptedError`), since a vote may have stood there.
+At a start, all complete records are read. A partial record at the end is dropped: the process died while
+writing it, so it was never acknowledged. Any other unreadable content raises :class:`StoreCorruptedError`. A
+voter does not vote with what is left of a corrupted log, since a vote of its own may be missing from it.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 from honeybarrow.errors import HoneybarrowError
 
 RECORD_LENGTH_BYTES = 4
-RECORD_HEADER_BYTES = 12  # the record's length and its checksum
+RECORD_HEADER_BYTES = 12  # length and checksum
 MAX_RECORD_BYTES = 64 << 20
-MAX_LOG_FILE_BYTES = 16 << 20  # before the log's file is rewritten
+MAX_LOG_FILE_BYTES = 16 << 20  # size beyond which the log file is rewritten
 LOCK_FILE, DISK_FILE, LOG_FILE = "lock", "disk", "log"
 
 
 class StoreCorruptedError(HoneybarrowError):
-    """The consensus folder holds what can't be read: this member's votes may be lost with it."""
+    """The consensus folder contains unreadable data, so votes of this member may be lost."""
 
     code = "HB511"
     remedy = (
@@ -46,22 +46,22 @@
 
 
 class StoreLockedError(HoneybarrowError):
-    """Another process uses the consensus folder."""
+    """The consensus folder is in use by another process."""
 
     code = "HB512"
-    remedy = "end the other process, or give this forwarder a folder of its own"
+    remedy = "stop the other process, or configure a separate folder for this forwarder"
     status = 2
 
 
 class StoreWriteError(HoneybarrowError):
-    """The consensus folder can't be written: the member goes on, but neither votes nor persists anything."""
+    """The consensus folder can't be written. The member runs on without voting or persisting updates."""
 
     code = "HB513"
-    remedy = "make room on the disk or give the user permission to write, and start the member again"
+    remedy = "free space on the disk or give the user write permission, and restart the member"
 
 
 class _Record(msgspec.Struct, frozen=True, array_like=True):
-    """One update, as an array: the order of the fields is the format."""
+    """One update, encoded as an array. The order of the fields is part of the file format."""
 
     sequence_number: int
     term: int
@@ -73,14 +73,14 @@
 
 
 class _DiskRecord(msgspec.Struct, frozen=True):
-    """The ``disk`` file, a JSON map: the names given are the format."""
+    """The ``disk`` file, a JSON object. The encoded field names are part of the file format."""
 
     disk_id: int = msgspec.field(name="disk")
     start_count: int = msgspec.field(name="starts")
 
 
 class DecodedLog(NamedTuple):
-    """The state after all whole records, and how many bytes they take."""
+    """The state after all complete records, and their size in bytes."""
 
     state: PersistentState
     size_bytes: int
@@ -90,7 +90,7 @@
 
 
 def encode_record(update: PersistState) -> bytes:
-    """One record: length, checksum and content."""
+    """Return one record: length, checksum and content."""
     data = _encoder.encode(
         _Record(
             update.sequence_number,
@@ -106,9 +106,9 @@
 
 
 def decode_records(data: bytes) -> DecodedLog:
-    """Decode all whole records; what follows them was being written.
+    """Decode all complete records, and ignore a partial one at the end.
 
-    :raises StoreCorruptedError: for anything else that can't be read.
+    :raises StoreCorruptedError: if any other record is invalid.
     """
     state, offset = PersistentState(), 0
     while offset < len(data):
@@ -118,17 +118,23 @@
         if body_offset + size_bytes > len(data) and size_bytes <= MAX_RECORD_BYTES:
             break
         if not data[offset:].strip(b"\0"):
-            break  # the file grew, and its bytes did not come to the disk
+            break  # the file was extended, but its new bytes were not written before a crash
         checksum = data[offset + RECORD_LENGTH_BYTES : body_offset]
         if size_bytes > MAX_RECORD_BYTES or xxhash.xxh3_64_digest(body) != checksum:
-            raise StoreCorruptedError("the consensus log", f"record at byte {offset} is not what was written")
+            raise StoreCorruptedError(
+                "consensus log", f"the record at byte {offset} has an invalid length or checksum"
+            )
         try:
             record = msgspec.msgpack.decode(body, type=_Record)
         except msgspec.DecodeError as error:
-            raise StoreCorruptedError("the consensus log", f"record at byte {offset}: {error}") from None
+            raise StoreCorruptedError(
+                "consensus log", f"the record at byte {offset} can't be decoded: {error}"
+            ) from None
         if record.sequence_number < state.sequence_number:
             raise StoreCorruptedError(
-                "the consensus log", f"record {record.sequence_number} follows {state.sequence_number}"
+                "consensus log",
+                f"the record at byte {offset} has sequence number {record.sequence_number}, but follows "
+                f"number {state.sequence_number}",
             )
         state.apply_update(PersistState(*(getattr(record, name) for name in _Record.__struct_fields__)))
         offset = body_offset + size_bytes
@@ -136,14 +142,14 @@
 
 
 class ConsensusStore:
-    """One member's folder.
+    """The persistent storage of one member.
 
-    ``on_persisted(sequence_number)`` and ``on_failed(error)`` are called in the reactor's thread, which
-    ``call_in_reactor`` hands a call to.
+    ``on_persisted(sequence_number)`` and ``on_failed(error)`` are called in the reactor's thread, through
+    ``call_in_reactor(function, *arguments)``.
 
-    :raises StoreLockedError: if another process has the folder.
-    :raises StoreCorruptedError: if it can't be read.
-    :raises StoreWriteError: if it can't be written.
+    :raises StoreLockedError: if another process uses the folder.
+    :raises StoreCorruptedError: if the folder contains unreadable data.
+    :raises StoreWriteError: if the folder can't be written.
     """
 
     def __init__(
@@ -166,7 +172,7 @@
         except StoreCorruptedError:
             os.close(self._lock_fd)
             raise
-        self._unreported_sequences: list[int] = []  # submitted, not reported; the reactor's thread alone
+        self._unreported_sequences: list[int] = []  # used by the reactor's thread only
         self._reported_count, self._has_failed = 0, False
         self._writer: WriterThread[PersistState] = WriterThread(
             self._write_batch, self._on_batch_persisted, self._on_write_failed
@@ -175,26 +181,26 @@
 
     @property
     def incarnation(self) -> int:
-        """This incarnation of the disk, see :class:`honeybarrow.consensus.messages.VoterIdentity`."""
+        """The current incarnation; see :class:`honeybarrow.consensus.messages.VoterIdentity`."""
         return (self.start_count << INCARNATION_NONCE_BITS) + self._incarnation_nonce
 
     def persist(self, update: PersistState) -> None:
-        """Have an update persisted; ``on_persisted`` is called later, in the reactor's thread."""
+        """Queue an update to be persisted. ``on_persisted`` is called later, in the reactor's thread."""
         if not self._has_failed:
             self._unreported_sequences.append(update.sequence_number)
             self._writer.submit(update)
 
     def get_writer_stats(self) -> WriterStats:
-        """How the writing stands; from any thread."""
+        """Return the counts of the writer thread. May be called from any thread."""
         return self._writer.get_stats()
 
     def close(self) -> None:
-        """Write what is queued, and release the folder."""
+        """Write all queued updates, and release the folder."""
         self._writer.close()
         os.close(self._log_fd)
         os.close(self._lock_fd)
 
-    # at the start
+    # --- opening
 
     def _take_lock(self) -> int:
         try:
@@ -213,7 +219,7 @@
         self.disk_id, self.start_count = self._record_start()
         path = self.folder / LOG_FILE
         self.persistent_state = decode_records(path.read_bytes() if path.exists() else b"").state
-        # The writer's own: what the file holds, so that it can be rewritten.
+        # The content of the log file, used by the writer thread to rewrite it.
         self._file_state = self.persistent_state.copy()
         self._log_fd, self._log_file_bytes = -1, 0
         self._rewrite_log()
@@ -226,7 +232,7 @@
             except msgspec.DecodeError as error:
                 raise StoreCorruptedError(str(path), str(error)) from None
         elif (self.folder / LOG_FILE).exists():
-            raise StoreCorruptedError(str(path), "it is missing beside a log")
+            raise StoreCorruptedError(str(path), f"the file is missing, but {LOG_FILE!r} exists")
         else:
             known = _DiskRecord(secrets.randbits(53), 0)
         self._incarnation_nonce = secrets.randbits(INCARNATION_NONCE_BITS)
@@ -235,7 +241,7 @@
         return new.disk_id, new.start_count
 
     def _replace_file(self, name: str, data: bytes) -> int:
-        """Write a file in place of another, so that one of the two is there; its open descriptor."""
+        """Atomically replace a file, and return the open descriptor of the new one."""
         path = self.folder / f"{name}.new"
         fd = os.open(path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
@@ -260,7 +266,7 @@
             os.close(self._log_fd)
         self._log_fd, self._log_file_bytes = fd, len(data)
 
-    # in the writer's thread
+    # --- writer thread
 
     def _write_batch(self, updates: list[PersistState]) -> None:
         for update in updates:
@@ -281,7 +287,7 @@
         failure = StoreWriteError(str(self.folder), error.strerror or str(error))
         self._call_in_reactor(self._report_failure, failure)
 
-    # in the reactor's thread again
+    # --- reactor thread
 
     def _report_failure(self, error: StoreWriteError) -> None:
         self._has_failed, self._unreported_sequences = True, []
--- a/honeybarrow/consensus/writer.py
+++ b/honeybarrow/consensus/writer.py
@@ -1,17 +1,18 @@
-"""A thread that writes what the reactor's thread submits, in order, and reports how far it has come.
+"""A thread that writes the items submitted by the reactor's thread, in order, and reports its progress.
 
-The reactor must not wait for a disk, and no message may leave before what it rests on is persisted. So
-updates wait in a queue; the thread takes all that wait, writes and syncs them as one batch, and only then
-reports. Three threads meet here: the reactor's (``submit``, ``close``), the writer's own, and whoever calls
-``get_stats`` (a scrape, an operator's question). All that they share is under one lock; the lock is never
-held while the disk is at work.
+The reactor must not block on disk I/O, and no message may be sent before the state that it depends on is
+persisted. Items therefore wait in a queue. The thread takes all of them, writes and syncs them as one batch,
+and then reports them. Three kinds of threads share the writer: the reactor's (``submit``, ``close``), the
+writer's own, and any thread that calls ``get_stats`` (a metrics scrape, an operator's query). One lock guards
+the shared state. It is never held during disk I/O.
 
-Guards, each with a schedule that breaks without it (``tests/test_interleaving_explorer.py``):
+Invariants, each checked over all thread schedules by ``tests/test_interleaving_explorer.py``:
 
-- ``persisted`` moves only after the write has returned;
-- a write that failed ends all writing: what came after a gap must never count as persisted;
-- ``close`` ends the thread only once the queue is empty, or a write has failed;
-- ``get_stats`` reads all counts at one moment, so that nothing is persisted that was not submitted.
+- The persisted count grows only after the write has returned.
+- A failed write ends all writing, since an item after a gap must never count as persisted.
+- ``close`` ends the thread only once the queue is empty or a write has failed.
+- ``get_stats`` reads all counts atomically, so that it never reports more items as persisted than as
+  submitted.
 """
 
 from __future__ import annotations
@@ -26,7 +27,10 @@
 
 
 class Condition(Protocol):
-    """What is used of :class:`threading.Condition`; handed in, so that schedules can be explored."""
+    """The methods of :class:`threading.Condition` that the writer uses.
+
+    Tests pass in another implementation that explores all thread schedules.
+    """
 
     def __enter__(self) -> Any: ...
 
@@ -35,17 +39,17 @@
     ) -> Any: ...
 
     def wait(self) -> Any:
-        """Release the lock until notified, then take it again."""
+        """Release the lock, wait for a notification, and acquire the lock again."""
         ...
 
     def notify(self) -> Any:
-        """Wake one thread that waits."""
+        """Wake one waiting thread."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class WriterStats:
-    """At one moment: items submitted, those persisted, and writes; whether a write has failed."""
+    """Counts of submitted items, persisted items and writes at one moment, and whether a write has failed."""
 
     submitted: int
     persisted: int
@@ -54,15 +58,16 @@
 
     @property
     def pending(self) -> int:
-        """Items that are not on disk."""
+        """The number of submitted items that are not persisted."""
         return self.submitted - self.persisted
 
 
 class WriterThread(Generic[Item]):
-    """Writes items in batches, in a thread of its own.
+    """Writes items in batches in a separate thread.
 
-    ``write`` puts items on disk or raises ``OSError``; ``on_persisted(n)``: the first ``n`` items are there;
-    ``on_failed(error)``: no further one will be. All three are called in the writer's thread.
+    ``write(items)`` writes items to disk or raises ``OSError``. ``on_persisted(count)`` reports that the
+    first ``count`` items are persisted; ``on_failed(error)`` that no further items will be. All three are
+    called in the writer's thread.
     """
 
     def __init__(
@@ -80,12 +85,15 @@
         self._thread: threading.Thread | None = None
 
     def start(self) -> None:
-        """Begin to write, in a thread of its own."""
+        """Start the writer's thread."""
         self._thread = threading.Thread(target=self.run, name="consensus-writer", daemon=True)
         self._thread.start()
 
     def submit(self, item: Item) -> int:
-        """Submit an item; its number, from 1. After :meth:`close` or a failure it is never persisted."""
+        """Queue an item to be written, and return its number, counted from 1.
+
+        Items submitted after :meth:`close` or a failed write are never persisted.
+        """
         with self._lock:
             self._submitted += 1
             if not self._is_closing and not self._has_failed:
@@ -94,7 +102,7 @@
             return self._submitted
 
     def close(self) -> None:
-        """Write what is queued, and end. Waits for the thread."""
+        """Write all queued items, end the thread and wait for it."""
         with self._lock:
             self._is_closing = True
             self._lock.notify()
@@ -102,12 +110,12 @@
             self._thread.join()
 
     def get_stats(self) -> WriterStats:
-        """The counts, at one moment."""
+        """Return all counts, read atomically."""
         with self._lock:
             return WriterStats(self._submitted, self._persisted, self._writes, self._has_failed)
 
     def run(self) -> None:
-        """The thread's work."""
+        """Write queued items until :meth:`close` is called or a write fails."""
         while True:
             with self._lock:
                 while not self._queue and not self._is_closing:
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -244,7 +244,7 @@
     node = leader()
     now = 2 * TIMEOUT_US
     more = (*THREE, Voter("d", 1))
-    with pytest.raises(VoterChangeError, match="first entry"):
+    with pytest.raises(VoterChangeError, match="first entry of this leader"):
         node.propose(now, VoterConfiguration("v", more))
     node.on_message(now, "b", AppendEntriesReply(2, node.state.leadership.round_number, True, 2, IDENTITY))
     for wrong in ((*more, Voter("e", 1)), (*THREE[:2], Voter("c", 2)), (*THREE, THREE[0]), ()):
@@ -252,7 +252,7 @@
             node.propose(now, VoterConfiguration("v", wrong))
     node.propose(now, VoterConfiguration("v", more))
     assert len(node.voters) == 4, "it takes effect as soon as it is appended"
-    with pytest.raises(VoterChangeError, match="change before"):
+    with pytest.raises(VoterChangeError, match="previous change of the voters"):
         node.propose(now, VoterConfiguration("w", THREE))
 
 
