--- a/honeybarrow/consensus/actions.py
+++ b/honeybarrow/consensus/actions.py
@@ -31,10 +31,10 @@
 class PersistState:
     """An update of the node's state to be persisted.
 
-    Updates are persisted in the order of ``sequence_number``; :meth:`RaftNode.on_persisted` is called
-    afterwards. ``entries`` replace all persisted entries from ``first_index`` on; if ``first_index`` is 0, no
-    entries change. ``snapshot`` replaces all entries up to its ``last_included_index``. ``commit_index`` may
-    be lower than the actual commit index.
+    The caller persists updates in the order of ``sequence_number``, and then calls
+    :meth:`RaftNode.on_persisted`. ``entries`` replace all persisted entries from ``first_index`` on; if
+    ``first_index`` is 0, no entries change. ``snapshot`` replaces all entries up to its
+    ``last_included_index``. ``commit_index`` may be lower than the actual commit index.
     """
 
     sequence_number: int
--- a/honeybarrow/consensus/config.py
+++ b/honeybarrow/consensus/config.py
@@ -9,7 +9,7 @@
 
 from honeybarrow.errors import InvalidValueError
 
-NEVER_US = 1 << 62
+NEVER_US = 1 << 62  # later than any time that is reached; its negative is earlier than any
 MAX_COMMAND_BYTES = 128 << 10
 MAX_SNAPSHOT_BYTES = 512 << 10  # a snapshot is sent in one frame
 MAX_VOTERS = 7
@@ -50,5 +50,5 @@
 
     @property
     def leader_lease_us(self) -> int:
-        """How long after it was sent a round acknowledged by a majority rules out another leader."""
+        """How long a round that a majority acknowledged rules out another leader, from when it was sent."""
         return int(self.election_timeout_us * (1 - 2 * self.max_clock_drift))
--- a/honeybarrow/consensus/errors.py
+++ b/honeybarrow/consensus/errors.py
@@ -21,7 +21,7 @@
     )
 
     def __init__(self, what: str, leader: str = "") -> None:
-        super().__init__(what, f"{leader} is the leader" if leader else "no leader is known")
+        super().__init__(what, f"the leader is {leader!r}" if leader else "no leader is known")
         self.leader = leader
 
 
--- a/honeybarrow/consensus/log_entries.py
+++ b/honeybarrow/consensus/log_entries.py
@@ -22,15 +22,15 @@
 
 ENTRY_OVERHEAD_BYTES = 256  # estimated size, in a batch, of an entry without a command
 
-Name = Annotated[str, Meta(max_length=64)]
-Counter = Annotated[int, Meta(ge=0, le=1 << 62)]
+ShortText = Annotated[str, Meta(max_length=64)]
+NonNegativeInt = Annotated[int, Meta(ge=0, le=1 << 62)]
 
 
 class Voter(msgspec.Struct, frozen=True, array_like=True):
     """A voting member and the id of its disk, a random number drawn when its folder was first used."""
 
-    name: Name
-    disk_id: Counter
+    name: ShortText
+    disk_id: NonNegativeInt
 
 
 VoterSet = Annotated[tuple[Voter, ...], Meta(max_length=MAX_VOTERS)]
@@ -43,14 +43,14 @@
 class Command(msgspec.Struct, frozen=True, array_like=True, tag=2):
     """A command for the state machine. A repeated proposal keeps its ``proposal_id``."""
 
-    proposal_id: Name
+    proposal_id: ShortText
     data: Annotated[bytes, Meta(max_length=MAX_COMMAND_BYTES)]
 
 
 class VoterConfiguration(msgspec.Struct, frozen=True, array_like=True, tag=3):
     """The voters from this entry on. It takes effect as soon as it is appended, before it is committed."""
 
-    proposal_id: Name
+    proposal_id: ShortText
     voters: VoterSet
 
 
@@ -60,15 +60,15 @@
 class LogEntry(msgspec.Struct, frozen=True, array_like=True):
     """One entry of the log. Its position in the log is its index."""
 
-    term: Counter
+    term: NonNegativeInt
     body: EntryBody
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
     """The state of the state machine after all entries up to ``last_included_index``, and the voters then."""
 
-    last_included_index: Counter = 0
-    last_included_term: Counter = 0
+    last_included_index: NonNegativeInt = 0
+    last_included_term: NonNegativeInt = 0
     voters: VoterSet = ()
     data: Annotated[bytes, Meta(max_length=MAX_SNAPSHOT_BYTES)] = b""
 
--- a/honeybarrow/consensus/messages.py
+++ b/honeybarrow/consensus/messages.py
@@ -12,7 +12,7 @@
 from msgspec import Meta
 
 from honeybarrow.consensus.config import MAX_BATCH_ENTRIES
-from honeybarrow.consensus.log_entries import Counter, LogEntry, Snapshot
+from honeybarrow.consensus.log_entries import LogEntry, NonNegativeInt, Snapshot
 
 INCARNATION_NONCE_BITS = 20
 
@@ -27,25 +27,25 @@
     persisted update.
     """
 
-    disk_id: Counter
-    incarnation: Counter
-    persisted_count: Counter
+    disk_id: NonNegativeInt
+    incarnation: NonNegativeInt
+    persisted_count: NonNegativeInt
 
 
 class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag=31):
     """A request for a vote, or, as a pre-vote, a query whether the vote would be granted."""
 
-    term: Counter
+    term: NonNegativeInt
     is_pre_vote: bool
-    last_log_index: Counter
-    last_log_term: Counter
+    last_log_index: NonNegativeInt
+    last_log_term: NonNegativeInt
     identity: VoterIdentity
 
 
 class RequestVoteReply(msgspec.Struct, frozen=True, array_like=True, tag=32):
     """The reply to a vote request. The term of a refusal is the voter's own, which may be the later one."""
 
-    term: Counter
+    term: NonNegativeInt
     is_pre_vote: bool
     is_granted: bool
     identity: VoterIdentity
@@ -54,12 +54,12 @@
 class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag=33):
     """Entries after ``prev_log_index``; a heartbeat has none. The reply repeats ``round_number``."""
 
-    term: Counter
-    round_number: Counter
-    prev_log_index: Counter
-    prev_log_term: Counter
+    term: NonNegativeInt
+    round_number: NonNegativeInt
+    prev_log_index: NonNegativeInt
+    prev_log_term: NonNegativeInt
     entries: EntryBatch
-    leader_commit: Counter
+    leader_commit: NonNegativeInt
 
 
 class AppendEntriesReply(msgspec.Struct, frozen=True, array_like=True, tag=34):
@@ -70,26 +70,26 @@
     it to decide whether a majority of the voters considers a date past.
     """
 
-    term: Counter
-    round_number: Counter
+    term: NonNegativeInt
+    round_number: NonNegativeInt
     is_success: bool
-    match_index: Counter
+    match_index: NonNegativeInt
     identity: VoterIdentity
-    wall_clock_us: Counter = 0
+    wall_clock_us: NonNegativeInt = 0
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag=35):
     """A snapshot, sent in place of entries that the leader no longer holds."""
 
-    term: Counter
-    round_number: Counter
+    term: NonNegativeInt
+    round_number: NonNegativeInt
     snapshot: Snapshot
 
 
 class FetchCommitted(msgspec.Struct, frozen=True, array_like=True, tag=36):
     """A request for committed entries after ``after_index``, which any member can answer."""
 
-    after_index: Counter
+    after_index: NonNegativeInt
 
 
 class FetchCommittedReply(msgspec.Struct, frozen=True, array_like=True, tag=37):
@@ -98,9 +98,9 @@
     ``snapshot`` is set if requested entries before them were compacted.
     """
 
-    prev_log_index: Counter
+    prev_log_index: NonNegativeInt
     entries: EntryBatch
-    commit_index: Counter
+    commit_index: NonNegativeInt
     snapshot: Snapshot | None = None
 
 
--- a/honeybarrow/consensus/replication.py
+++ b/honeybarrow/consensus/replication.py
@@ -279,7 +279,7 @@
         state.commit_up_to(min(reply.commit_index, prev_log_index + len(entries)))
 
     def _accept_leader(self, now_us: int, sender: str, term: int) -> bool:
-        """Follow the sender of a leader's message, unless its term is outdated.
+        """Follow the sender of a leader's message, and return whether its term is current.
 
         :raises DivergedError: if this member leads the same term.
         """
--- a/honeybarrow/consensus/state.py
+++ b/honeybarrow/consensus/state.py
@@ -47,7 +47,7 @@
 class ElectionState:
     """The election timer of a follower, and the votes for a candidate."""
 
-    leader_heard_us: int  # time of the last message of a leader
+    leader_heard_us: int  # time of the last message from a leader
     due_us: int  # time of the next election, if no leader is heard before
     votes_received: dict[str, None] = field(default_factory=dict)
     own_vote_sequence: int = 0  # number of the update with the candidate's vote for itself; 0 if none
--- a/tests/consensus_model.py
+++ b/tests/consensus_model.py
@@ -1,10 +1,9 @@
-"""The replicated log as a model for the checker: the very ``RaftNode``, with links and disks that do
-anything.
+"""A model of the replicated log, which runs ``RaftNode`` in the model checker with faulty links and disks.
 
-The network is a set of messages that are never taken out: each may come never, once, again, or in any order.
-A disk persists updates one by one; a crash loses those not persisted, and may lose the disk. Time is left
-out: whoever may stand for election may do so at any moment, which is more than clocks allow, so the leader's
-stickiness is not needed to be safe.
+The network is a set from which messages are never removed, so each may be lost, repeated or reordered. A disk
+persists updates one by one. A crash loses the updates that are not persisted, and may lose the disk. Time is
+not modelled: a voter may start an election at any moment. This allows more executions than real clocks do, so
+safety is shown not to depend on leader stickiness.
 """
 
 from __future__ import annotations
@@ -39,14 +38,14 @@
 
 
 class ModelState(NodeState):
-    """The same, but for counters that would tell states apart in which nothing else differs."""
+    """A node state without the counters that would make equivalent states differ."""
 
     @property
     def identity(self) -> VoterIdentity:
         return VoterIdentity(self.disk_id, 1 << INCARNATION_NONCE_BITS, 0)
 
     def copy(self) -> ModelState:
-        """Another one that knows the same."""
+        """Return an independent copy."""
         new = copy.copy(self)
         new.log = copy.copy(self.log)
         new.log.entries = self.log.entries.copy()
@@ -64,14 +63,14 @@
 
 
 class ModelElection(Election):
-    """One that no leader holds back."""
+    """An election that ignores known leaders."""
 
     def hears_leader(self, now_us: int) -> bool:
         return False
 
 
 class ModelLeaderReplication(LeaderReplication):
-    """One that does not count rounds."""
+    """Leader replication that does not count heartbeat rounds."""
 
     def send_heartbeats(self, now_us: int) -> None:
         self.state.leadership.round_number = 0
@@ -79,14 +78,14 @@
 
 
 class ModelNode(RaftNode):
-    """The same, but for counters and times."""
+    """A node without counters and timers, for the model checker."""
 
     state_type: type[NodeState] = ModelState
     election_type: type[Election] = ModelElection
     leader_type: type[LeaderReplication] = ModelLeaderReplication
 
     def copy(self) -> ModelNode:
-        """Another one that knows the same."""
+        """Return an independent copy."""
         new = copy.copy(self)
         new.__dict__.pop("_model_key", None)
         assert isinstance(self.state, ModelState)
@@ -94,7 +93,7 @@
         return new
 
     def model_key(self) -> Hashable:
-        """What tells it from others, computed once."""
+        """Return a key that is equal for equivalent nodes. It is computed once."""
         if "_model_key" not in self.__dict__:
             state, log, outbox, election = self.state, self.state.log, self.state.outbox, self.state.election
             persisted = outbox.persisted_sequence
@@ -113,28 +112,35 @@
 
 @dataclass(frozen=True)
 class Disk:
-    """What is on it, and what was written and not persisted yet."""
+    """The persisted state of a node, and the updates that are written but not persisted yet."""
 
     persistent_state: PersistentState
     pending: tuple[PersistState, ...] = ()
     key: Hashable = ()
 
     def persist_oldest(self) -> Disk:
-        """The oldest update is persisted."""
+        """Return the disk after the oldest pending update is persisted."""
         new = self.persistent_state.copy()
         new.apply_update(self.pending[0])
         return replace(self, persistent_state=new, pending=self.pending[1:])
 
     def model_key(self) -> Hashable:
-        """What tells it from others."""
-        s = self.persistent_state
+        """Return a key that is equal for equivalent disks."""
+        state = self.persistent_state
         pending = tuple((p.term, p.voted_for, p.first_index, p.entries, p.snapshot) for p in self.pending)
-        return s.term, s.voted_for, s.commit_index, s.snapshot, tuple(s.entries), pending
+        return (
+            state.term,
+            state.voted_for,
+            state.commit_index,
+            state.snapshot,
+            tuple(state.entries),
+            pending,
+        )
 
 
 @dataclass(frozen=True)
 class State:
-    """All of a small fleet at one moment."""
+    """The state of a small fleet."""
 
     nodes: tuple[ModelNode, ...]
     disks: tuple[Disk, ...]
@@ -149,7 +155,7 @@
 
 @dataclass
 class ConsensusModel:
-    """Bounds: terms, proposals, crashes, disks lost, snapshots, a change of voters."""
+    """The bounds of the explored states, and the node class under test."""
 
     max_terms: int = 2
     max_proposals: int = 1
@@ -158,16 +164,16 @@
     has_snapshots: bool = False
     has_voter_change: bool = False
     members: int = 3
-    # Updates are persisted at a moment of their own; else before anything else happens.
+    # Whether other events can happen before an update is persisted.
     has_slow_disks: bool = False
-    has_pre_vote: bool = False  # it only spares elections; asked for, it doubles what can happen
+    has_pre_vote: bool = False  # not needed for safety, and doubles the number of states
     node_type: type[ModelNode] = ModelNode
 
     def initial_state(self) -> State:
-        """Each has the first entry, which names the voters."""
+        """Return the initial state, in which each node holds the first entry, which names the voters."""
         names = NAMES[: self.members]
-        voting = names[:-1] if self.has_voter_change else names
-        first = LogEntry(1, VoterConfiguration("fleet", tuple(Voter(name, 1) for name in voting)))
+        voter_names = names[:-1] if self.has_voter_change else names
+        first = LogEntry(1, VoterConfiguration("fleet", tuple(Voter(name, 1) for name in voter_names)))
         persistent_state = PersistentState(1, "", 1, Snapshot(), [first], 0)
         nodes = tuple(self._start(name, 1, persistent_state) for name in names)
         disks = tuple(Disk(persistent_state) for _ in names)
@@ -179,33 +185,33 @@
         return node
 
     def successors(self, state: State) -> Iterator[tuple[str, State]]:
-        """Whatever can happen."""
+        """Yield each possible next event and the state after it."""
         for packet in sorted(state.network, key=repr):
-            place = NAMES.index(packet[1])
+            node_index = NAMES.index(packet[1])
             sender, message = packet[0], packet[2]
             yield from self._transition(
-                state, place, f"{sender}>{packet[1]} {_describe(message)}", "message", sender, message
+                state, node_index, f"{sender}>{packet[1]} {_describe(message)}", "message", sender, message
             )
-        for place, node in enumerate(state.nodes):
-            if state.disks[place].pending:
-                yield from self._transition(state, place, f"{node.name} persists", "persist")
+        for node_index, node in enumerate(state.nodes):
+            if state.disks[node_index].pending:
+                yield from self._transition(state, node_index, f"{node.name} persists", "persist")
             if node.role is not Role.LEADER and node.is_voter and node.term < self.max_terms:
-                yield from self._transition(state, place, f"{node.name} stands for election", "election")
+                yield from self._transition(state, node_index, f"{node.name} starts an election", "election")
             if node.role is Role.LEADER:
                 if state.proposed < self.max_proposals:
-                    yield from self._transition(state, place, f"{node.name} proposes", "propose")
-                yield from self._transition(state, place, f"{node.name} sends heartbeats", "heartbeat")
+                    yield from self._transition(state, node_index, f"{node.name} proposes", "propose")
+                yield from self._transition(state, node_index, f"{node.name} sends heartbeats", "heartbeat")
             if self.has_snapshots and node.last_applied > node.log.snapshot.last_included_index + 1:
-                yield from self._transition(state, place, f"{node.name} compacts", "compact")
+                yield from self._transition(state, node_index, f"{node.name} compacts", "compact")
             if state.crashes < self.max_crashes:
-                yield self._crash(state, place, False)
+                yield self._crash(state, node_index, False)
             if state.disks_lost < self.max_disks_lost:
-                yield self._crash(state, place, True)
+                yield self._crash(state, node_index, True)
 
     def _transition(
-        self, state: State, place: int, label: str, event: str, *args: Any
+        self, state: State, node_index: int, label: str, event: str, *args: Any
     ) -> Iterator[tuple[str, State]]:
-        node, disk = state.nodes[place].copy(), state.disks[place]
+        node, disk = state.nodes[node_index].copy(), state.disks[node_index]
         if event == "persist":
             args, disk = (disk.pending[0].sequence_number,), disk.persist_oldest()
         try:
@@ -218,7 +224,7 @@
         if not self.has_slow_disks:
             disk, actions = _persist_at_once(node, disk, actions)
         proposed = state.proposed + (event == "propose")
-        yield label, self._state_after(state, place, node, disk, actions, proposed)
+        yield label, self._state_after(state, node_index, node, disk, actions, proposed)
 
     def _run_event(self, state: State, node: ModelNode, event: str, args: tuple[Any, ...]) -> list[Action]:
         match event:
@@ -243,18 +249,18 @@
     def _state_after(
         self,
         state: State,
-        place: int,
+        node_index: int,
         node: ModelNode,
         disk: Disk,
         actions: list[Action],
         proposed: int,
     ) -> State:
         network, leaders, committed, violation = state.network, state.leaders, state.committed, ""
-        sent: list[Packet] = []
+        sent_packets: list[Packet] = []
         for action in actions:
             match action:
                 case SendMessage(recipient, message):
-                    sent.append((node.name, recipient, message))
+                    sent_packets.append((node.name, recipient, message))
                 case PersistState():
                     disk = replace(disk, pending=(*disk.pending, action))
                 case RoleChanged(Role.LEADER, _, term):
@@ -264,31 +270,31 @@
                 case ApplyEntry(index, entry):
                     if index <= len(committed):
                         if committed[index - 1] != entry:
-                            violation = f"entry {index} is committed in two ways"
+                            violation = f"two different entries are committed at index {index}"
                     elif index == len(committed) + 1:
                         committed = (*committed, entry)
                     else:
-                        violation = f"entry {index} is committed before {index - 1}"
-        network = network | {packet for packet in sent if packet[1] != node.name}
-        nodes = (*state.nodes[:place], node, *state.nodes[place + 1 :])
-        disks = (*state.disks[:place], disk, *state.disks[place + 1 :])
+                        violation = f"entry {index} is applied before entry {index - 1}"
+        network = network | {packet for packet in sent_packets if packet[1] != node.name}
+        nodes = (*state.nodes[:node_index], node, *state.nodes[node_index + 1 :])
+        disks = (*state.disks[:node_index], disk, *state.disks[node_index + 1 :])
         terms = {each.name: each.term for each in nodes}
-        # What is of a term that its receiver has left can only be refused: it counts as lost.
-        known: Any = network
-        network = frozenset(each for each in known if each[2].term >= terms[each[1]])
+        # A message of an earlier term than its recipient's would be rejected, so it is dropped here.
+        packets: Any = network
+        network = frozenset(packet for packet in packets if packet[2].term >= terms[packet[1]])
         return replace(
             state, nodes=nodes, disks=disks, network=network, leaders=leaders, committed=committed,
             proposed=proposed, violation=violation,
         )  # fmt: skip
 
-    def _crash(self, state: State, place: int, loses_disk: bool) -> tuple[str, State]:
-        name, disk = state.nodes[place].name, replace(state.disks[place], pending=())
-        disk_id = state.nodes[place].state.disk_id
+    def _crash(self, state: State, node_index: int, loses_disk: bool) -> tuple[str, State]:
+        name, disk = state.nodes[node_index].name, replace(state.disks[node_index], pending=())
+        disk_id = state.nodes[node_index].state.disk_id
         if loses_disk:
             disk, disk_id = Disk(PersistentState()), disk_id + 1
         node = self._start(name, disk_id, disk.persistent_state)
-        nodes = (*state.nodes[:place], node, *state.nodes[place + 1 :])
-        disks = (*state.disks[:place], disk, *state.disks[place + 1 :])
+        nodes = (*state.nodes[:node_index], node, *state.nodes[node_index + 1 :])
+        disks = (*state.disks[:node_index], disk, *state.disks[node_index + 1 :])
         after = replace(
             state,
             nodes=nodes,
@@ -299,7 +305,7 @@
         return f"{name} {'loses its disk' if loses_disk else 'crashes'}", after
 
     def state_key(self, state: State) -> Hashable:
-        """What tells states apart."""
+        """Return a key that is equal for equivalent states."""
         return (
             tuple(node.model_key() for node in state.nodes),
             tuple(disk.model_key() for disk in state.disks),
@@ -307,19 +313,22 @@
         )  # fmt: skip
 
     def find_violation(self, state: State) -> str:
-        """One leader a term; what is committed never differs and is never lost."""
+        """Return a description of the violation, or an empty string.
+
+        Each term has at most one leader, and committed entries never differ and are never lost.
+        """
         return state.violation
 
 
 def _persist_at_once(node: ModelNode, disk: Disk, actions: list[Action]) -> tuple[Disk, list[Action]]:
-    """Persist all updates, and those that follow from it, before anything else happens."""
+    """Persist all updates, and the updates that result from it, before any other event."""
     updates = [action for action in actions if isinstance(action, PersistState)]
     while updates:
         for update in updates:
             disk = replace(disk, pending=(*disk.pending, update)).persist_oldest()
-        more = node.on_persisted(0, updates[-1].sequence_number)
-        actions = [*(each for each in actions if not isinstance(each, PersistState)), *more]
-        updates = [action for action in more if isinstance(action, PersistState)]
+        new_actions = node.on_persisted(0, updates[-1].sequence_number)
+        actions = [*(each for each in actions if not isinstance(each, PersistState)), *new_actions]
+        updates = [action for action in new_actions if isinstance(action, PersistState)]
     return disk, [each for each in actions if not isinstance(each, PersistState)]
 
 
--- a/tests/test_golden_consensus.py
+++ b/tests/test_golden_consensus.py
@@ -1,13 +1,13 @@
-"""What an earlier build wrote of the replicated log, read to the same meaning and written to the same bytes.
+"""Compatibility of the replicated log's files, messages and actions with those of an earlier release.
 
-The files under ``golden/consensus`` were written by the build before the names changed (223bf7c):
+The files under ``golden/consensus`` were written by commit 223bf7c. They hold no names of classes or fields.
 
-- ``folder/``: a folder that was opened, written to and closed: three saves, the second with a snapshot;
-  ``reopened/`` is what the next start leaves of it, before it writes anything;
+- ``folder/``: a folder after three updates, the second with a snapshot, and ``reopened/``, the same folder
+  after the next start;
 - ``torn/``: the same log with its last record cut off in the middle;
-- ``messages.json``: one of each message, and of what stands in entries, as bytes;
-- ``traces.json``: digests of all that the logs of simulated fleets wanted done, by seed, and of every state
-  and step of small models. Neither holds the name of a class or a field.
+- ``messages.json``: the encoded bytes of each message and entry body;
+- ``traces.json``: digests of all actions of simulated fleets, by seed, and of all states and transitions of
+  small models.
 """
 
 from __future__ import annotations
@@ -72,22 +72,22 @@
 from tests.lease_model import LeaseModel
 
 GOLDEN = Path(__file__).parent / "golden" / "consensus"
-DISK, CHANCE = 0x1234567890ABC, 0x54321
-THREE = (Voter("a", 1), Voter("b", 2), Voter("c", DISK))
+DISK_ID, INCARNATION_NONCE = 0x1234567890ABC, 0x54321
+THREE_VOTERS = (Voter("a", 1), Voter("b", 2), Voter("c", DISK_ID))
 ENTRIES = (
-    LogEntry(1, VoterConfiguration("fleet-1", THREE)),
+    LogEntry(1, VoterConfiguration("fleet-1", THREE_VOTERS)),
     LogEntry(2, Noop()),
     LogEntry(2, Command("proposal-1", b"\x00first\xff")),
     LogEntry(2, Command("proposal-2", "zweite Änderung".encode())),
-    LogEntry(3, VoterConfiguration("roll-2", THREE[:2])),
+    LogEntry(3, VoterConfiguration("roll-2", THREE_VOTERS[:2])),
 )
-SNAPSHOT = Snapshot(2, 2, THREE, b"state after two")
+SNAPSHOT = Snapshot(2, 2, THREE_VOTERS, b"state after two")
 UPDATES = (
     PersistState(1, 2, "b", 1, 1, ENTRIES[:4]),
     PersistState(2, 2, "b", 2, 0, (), SNAPSHOT),
     PersistState(3, 3, "c", 3, 5, ENTRIES[4:]),
 )
-IDENTITY = VoterIdentity(DISK, (7 << 20) + CHANCE, 41)
+IDENTITY = VoterIdentity(DISK_ID, (7 << 20) + INCARNATION_NONCE, 41)
 MESSAGES: dict[str, Any] = {
     "31 vote asked for": RequestVote(5, True, 17, 4, IDENTITY),
     "31 vote asked for, in earnest": RequestVote(6, False, 1 << 40, 5, IDENTITY),
@@ -108,14 +108,14 @@
 }
 
 
-def written_at(path: Path) -> dict[str, bytes]:
+def read_files(path: Path) -> dict[str, bytes]:
     return {each.name: each.read_bytes() for each in sorted(path.iterdir())}
 
 
-def write(path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The folder, as it was written."""
-    monkeypatch.setattr(secrets, "randbits", {53: DISK, 20: CHANCE}.__getitem__)
-    store = opened(path)
+def write_golden_folder(path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Write a folder with the updates of the golden one."""
+    monkeypatch.setattr(secrets, "randbits", {53: DISK_ID, 20: INCARNATION_NONCE}.__getitem__)
+    store = open_store(path)
     for update in UPDATES:
         store.persist(update)
         while store.get_writer_stats().pending:
@@ -123,39 +123,43 @@
     store.close()
 
 
-def opened(path: Path) -> ConsensusStore:
+def open_store(path: Path) -> ConsensusStore:
     return ConsensusStore(path, lambda number: None, lambda error: None, lambda call, *args: None)
 
 
-def copied(name: str, to: Path) -> Path:
-    shutil.copytree(GOLDEN / name, to)
-    return to
+def copy_golden_folder(name: str, target: Path) -> Path:
+    shutil.copytree(GOLDEN / name, target)
+    return target
 
 
-def test_a_folder_is_read_to_the_same_meaning_and_written_to_the_same_bytes(
+def test_folder_is_read_and_written_as_by_an_earlier_release(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    write(tmp_path / "new", monkeypatch)
-    assert written_at(tmp_path / "new") == written_at(GOLDEN / "folder")
-    assert sorted(written_at(GOLDEN / "folder")) == ["disk", "lock", "log"]
-    store = opened(copied("folder", tmp_path / "old"))
-    assert (store.disk_id, store.start_count, store.incarnation) == (DISK, 2, (2 << 20) + CHANCE)
+    write_golden_folder(tmp_path / "new", monkeypatch)
+    assert read_files(tmp_path / "new") == read_files(GOLDEN / "folder")
+    assert sorted(read_files(GOLDEN / "folder")) == ["disk", "lock", "log"]
+    store = open_store(copy_golden_folder("folder", tmp_path / "old"))
+    assert (store.disk_id, store.start_count, store.incarnation) == (
+        DISK_ID,
+        2,
+        (2 << 20) + INCARNATION_NONCE,
+    )
     assert store.persistent_state == PersistentState(3, "c", 3, SNAPSHOT, list(ENTRIES[2:]), 3)
     store.close()
-    assert written_at(tmp_path / "old") == written_at(GOLDEN / "reopened")
+    assert read_files(tmp_path / "old") == read_files(GOLDEN / "reopened")
     rng = random.Random(1)
-    node = RaftNode("c", DISK, store.incarnation, rng, ConsensusConfig(), store.persistent_state, 0)
+    node = RaftNode("c", DISK_ID, store.incarnation, rng, ConsensusConfig(), store.persistent_state, 0)
     assert (node.term, node.state.voted_for, node.commit_index) == (3, "c", 3)
     assert (node.log.first_index, node.log.last_index) == (3, 5)
-    assert node.voters == THREE[:2] and not node.is_voter
+    assert node.voters == THREE_VOTERS[:2] and not node.is_voter
 
 
-def test_a_disk_record_is_a_map_of_two_numbers() -> None:
-    assert json.loads((GOLDEN / "folder" / "disk").read_bytes()) == {"disk": DISK, "starts": 1}
-    assert json.loads((GOLDEN / "reopened" / "disk").read_bytes()) == {"disk": DISK, "starts": 2}
+def test_disk_record_is_a_map_of_two_numbers() -> None:
+    assert json.loads((GOLDEN / "folder" / "disk").read_bytes()) == {"disk": DISK_ID, "starts": 1}
+    assert json.loads((GOLDEN / "reopened" / "disk").read_bytes()) == {"disk": DISK_ID, "starts": 2}
 
 
-def test_a_log_torn_in_its_last_record_is_read_up_to_it(tmp_path: Path) -> None:
+def test_log_with_partial_last_record_is_read_up_to_it(tmp_path: Path) -> None:
     whole, torn = (GOLDEN / "folder" / "log").read_bytes(), (GOLDEN / "torn" / "log").read_bytes()
     assert whole.startswith(torn)
     assert decode_records(whole) == (PersistentState(3, "c", 3, SNAPSHOT, list(ENTRIES[2:]), 3), len(whole))
@@ -163,13 +167,13 @@
     state, size_bytes = decode_records(torn)
     assert state == before and size_bytes < len(torn)
     assert torn[:size_bytes] == encode_record(before.to_single_update())
-    store = opened(copied("torn", tmp_path / "torn"))
+    store = open_store(copy_golden_folder("torn", tmp_path / "torn"))
     assert store.persistent_state == before
     store.close()
     assert (tmp_path / "torn" / "log").read_bytes() == torn[:size_bytes]
 
 
-def test_records_are_written_to_the_same_bytes() -> None:
+def test_records_are_encoded_to_the_same_bytes() -> None:
     before = PersistentState(2, "b", 2, SNAPSHOT, list(ENTRIES[2:4]), 2)
     assert (
         encode_record(before.to_single_update()) + encode_record(UPDATES[2])
@@ -179,40 +183,40 @@
     assert encode_record(after.to_single_update()) == (GOLDEN / "reopened" / "log").read_bytes()
 
 
-def test_each_message_and_entry_is_read_and_written_as_before() -> None:
-    known = json.loads((GOLDEN / "messages.json").read_text())
-    assert list(known) == [*MESSAGES, *BODIES]
-    for kind, named in ((Message, MESSAGES), (EntryBody, BODIES)):
-        for name, value in named.items():
-            assert msgspec.msgpack.encode(value).hex() == known[name], name
-            assert msgspec.msgpack.decode(bytes.fromhex(known[name]), type=kind) == value, name
+def test_messages_and_entries_are_encoded_to_the_same_bytes() -> None:
+    golden = json.loads((GOLDEN / "messages.json").read_text())
+    assert list(golden) == [*MESSAGES, *BODIES]
+    for value_type, named_values in ((Message, MESSAGES), (EntryBody, BODIES)):
+        for name, value in named_values.items():
+            assert msgspec.msgpack.encode(value).hex() == golden[name], name
+            assert msgspec.msgpack.decode(bytes.fromhex(golden[name]), type=value_type) == value, name
             assert name.startswith(f"{value.__struct_config__.tag} ")
 
 
-# --- the same events, the same actions
+# --- actions and states
 
 
-def plain(value: Any) -> Any:
-    """A value without names of classes and fields: fields in their order, enum members by their place."""
+def to_plain_data(value: Any) -> Any:
+    """Return a value as plain data, without the names of classes, fields and enum members."""
     if isinstance(value, msgspec.Struct):
         return msgspec.msgpack.encode(value).hex()
     if isinstance(value, enum.Enum):
         return list(type(value)).index(value)
     if dataclasses.is_dataclass(value):
-        return [plain(getattr(value, each.name)) for each in dataclasses.fields(value)]
+        return [to_plain_data(getattr(value, each.name)) for each in dataclasses.fields(value)]
     if isinstance(value, tuple | list):
-        return [plain(each) for each in value]
+        return [to_plain_data(each) for each in value]
     if isinstance(value, frozenset):
-        return sorted(json.dumps(plain(each)) for each in value)
+        return sorted(json.dumps(to_plain_data(each)) for each in value)
     return value
 
 
-# The order of the types is that of ``Action``: a digest holds the place of the type in it.
+# In the order of ``Action``; digests contain the index of the type.
 ACTION_TYPES = (SendMessage, PersistState, ApplyEntry, RestoreSnapshot, RoleChanged, DiskRolledBack)
 
 
 class TracedCluster(ConsensusCluster):
-    """Takes down what each member wants done, and when."""
+    """A simulated cluster that computes a digest of all actions with their member and time."""
 
     def __init__(self, plan: ClusterPlan, seed: int) -> None:
         self.digest, self.actions = hashlib.sha256(), 0
@@ -221,12 +225,12 @@
     def _perform_actions(self, member: Any, actions: list[Action]) -> None:
         for action in actions:
             self.actions += 1
-            line = [self.now_us, member.name, ACTION_TYPES.index(type(action)), plain(action)]
+            line = [self.now_us, member.name, ACTION_TYPES.index(type(action)), to_plain_data(action)]
             self.digest.update(json.dumps(line).encode())
         super()._perform_actions(member, actions)
 
 
-DAYS = {
+SIMULATIONS = {
     **{f"drawn {seed}, 3 voters, 2 learners": (draw_plan(seed, 3, 2), seed) for seed in range(4)},
     **{f"drawn {seed}, 5 voters, 3 learners": (draw_plan(seed, 5, 3), seed) for seed in (1000, 1001)},
     "a disk lost, slow links": (
@@ -245,8 +249,8 @@
 }
 
 
-def trace_of_day(name: str) -> list[Any]:
-    cluster = TracedCluster(*DAYS[name])
+def trace_simulation(name: str) -> list[Any]:
+    cluster = TracedCluster(*SIMULATIONS[name])
     history = cluster.run()
     assert find_violations(cluster) == []
     counts = [
@@ -258,8 +262,8 @@
         len(history.committed),
         len(history.elected_us),
     ]
-    rest = [plain(history.acknowledged), sorted(history.leaders.items()), history.elected_us]
-    cluster.digest.update(json.dumps(rest).encode())
+    summary = [to_plain_data(history.acknowledged), sorted(history.leaders.items()), history.elected_us]
+    cluster.digest.update(json.dumps(summary).encode())
     return [cluster.actions, *counts, cluster.digest.hexdigest()]
 
 
@@ -275,36 +279,44 @@
 }
 
 
-def trace_of_model(name: str) -> list[Any]:
-    """All states, in whatever order they are met: the sum of their digests, and that of the steps."""
+def trace_model(name: str) -> list[Any]:
+    """Return the counts of all states and transitions, and the sums of their digests.
+
+    The sums do not depend on the order of the exploration.
+    """
     model = MODELS[name]
 
     def digest(value: Hashable) -> int:
-        return int.from_bytes(hashlib.sha256(json.dumps(plain(value)).encode()).digest(), "big")
+        return int.from_bytes(hashlib.sha256(json.dumps(to_plain_data(value)).encode()).digest(), "big")
 
     first = model.initial_state()
-    seen = {model.state_key(first): digest(model.state_key(first))}
-    left, steps, of_steps = [first], 0, 0
-    while left:
-        state = left.pop()
-        before = seen[model.state_key(state)]
+    state_digests = {model.state_key(first): digest(model.state_key(first))}
+    frontier, steps, step_digest_sum = [first], 0, 0
+    while frontier:
+        state = frontier.pop()
+        before = state_digests[model.state_key(state)]
         for _, after in model.successors(state):
             assert model.find_violation(after) == ""
             key = model.state_key(after)
-            if key not in seen:
-                seen[key] = digest(key)
-                left.append(after)
+            if key not in state_digests:
+                state_digests[key] = digest(key)
+                frontier.append(after)
             steps += 1
-            of_steps += digest((before, seen[key]))
-    whole = 1 << 256
-    return [len(seen), steps, f"{sum(seen.values()) % whole:064x}", f"{of_steps % whole:064x}"]
+            step_digest_sum += digest((before, state_digests[key]))
+    modulus = 1 << 256
+    return [
+        len(state_digests),
+        steps,
+        f"{sum(state_digests.values()) % modulus:064x}",
+        f"{step_digest_sum % modulus:064x}",
+    ]
 
 
-@pytest.mark.parametrize("name", DAYS)
-def test_a_simulated_day_wants_the_same_done(name: str) -> None:
-    assert trace_of_day(name) == json.loads((GOLDEN / "traces.json").read_text())[name]
+@pytest.mark.parametrize("name", SIMULATIONS)
+def test_simulation_yields_the_same_actions(name: str) -> None:
+    assert trace_simulation(name) == json.loads((GOLDEN / "traces.json").read_text())[name]
 
 
 @pytest.mark.parametrize("name", MODELS)
-def test_a_small_model_has_the_same_states_and_steps(name: str) -> None:
-    assert trace_of_model(name) == json.loads((GOLDEN / "traces.json").read_text())[name]
+def test_small_model_has_the_same_states_and_transitions(name: str) -> None:
+    assert trace_model(name) == json.loads((GOLDEN / "traces.json").read_text())[name]
--- a/tests/writer_mutants.py
+++ b/tests/writer_mutants.py
@@ -1,5 +1,6 @@
-"""Writer threads with one guard taken out each; each is found by some schedule
-(``test_interleaving_explorer.py``).
+"""Writer threads that each lack one safety check.
+
+``test_interleaving_explorer.py`` checks that some thread schedule exposes each of them.
 """
 
 from __future__ import annotations
@@ -8,7 +9,7 @@
 
 
 class ReportsBeforeWriting(WriterThread[str]):
-    """Mutant: counts items as persisted as it takes them."""
+    """Mutant that counts items as persisted before it writes them."""
 
     def run(self) -> None:
         while True:
@@ -24,7 +25,7 @@
 
 
 class ContinuesAfterFailure(WriterThread[str]):
-    """Mutant: a failed write does not end the writing."""
+    """Mutant that continues to write after a failed write."""
 
     def submit(self, item: str) -> int:
         with self._lock:
@@ -39,7 +40,7 @@
 
 
 class EndsEarly(WriterThread[str]):
-    """Mutant: closing ends the thread with items in the queue."""
+    """Mutant that drops queued items on close."""
 
     def close(self) -> None:
         with self._lock:
@@ -49,7 +50,7 @@
 
 
 class CloseWithoutNotify(WriterThread[str]):
-    """Mutant: closing does not wake the thread."""
+    """Mutant that does not wake the thread on close."""
 
     def close(self) -> None:
         with self._lock:
@@ -57,13 +58,13 @@
 
 
 class ChecksOutsideTheLock(WriterThread[str]):
-    """Mutant: whether there is something to do is looked at outside the lock."""
+    """Mutant that checks the queue outside the lock."""
 
     def run(self) -> None:
         while True:
-            empty = not self._queue and not self._is_closing
+            must_wait = not self._queue and not self._is_closing
             with self._lock:
-                if empty:
+                if must_wait:
                     self._lock.wait()
                 if not self._queue:
                     if self._is_closing:
@@ -78,7 +79,7 @@
 
 
 class ReadsStatsUnlocked(WriterThread[str]):
-    """Mutant: stats are read one after another, without the lock."""
+    """Mutant that reads the counts one after another, without the lock."""
 
     def get_stats(self) -> WriterStats:
         submitted = self._submitted
