--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -76,7 +76,7 @@
 def create_node(name: str = "a", entries: tuple[LogEntry, ...] = (), term: int = 1, **more: Any) -> RaftNode:
     persistent = PersistentState(term, "", 1, Snapshot(), [FIRST_ENTRY, *entries], 1)
     node = RaftNode(
-        name, more.get("disk", 1), 1 << INCARNATION_NONCE_BITS, random.Random(1), CONFIG, persistent, 0
+        name, more.get("disk_id", 1), 1 << INCARNATION_NONCE_BITS, random.Random(1), CONFIG, persistent, 0
     )
     node.start()
     return node
@@ -90,15 +90,15 @@
     return [each for each in actions if isinstance(each, PersistState)]
 
 
-def create_leader(now: int = 2 * TIMEOUT_US) -> RaftNode:
+def create_leader(now_us: int = 2 * TIMEOUT_US) -> RaftNode:
     """Return the leader of three voters, whose first entry only the leader itself has persisted."""
     node = create_node()
-    node.on_timer(now)
-    actions = node.on_message(now, "b", RequestVoteReply(2, True, True, IDENTITY))
-    node.on_persisted(now, persist_updates(actions)[-1].sequence_number)
-    actions = node.on_message(now, "b", RequestVoteReply(2, False, True, IDENTITY))
+    node.on_timer(now_us)
+    actions = node.on_message(now_us, "b", RequestVoteReply(2, True, True, IDENTITY))
+    node.on_persisted(now_us, persist_updates(actions)[-1].sequence_number)
+    actions = node.on_message(now_us, "b", RequestVoteReply(2, False, True, IDENTITY))
     assert node.role is Role.LEADER
-    node.on_persisted(now, persist_updates(actions)[-1].sequence_number)
+    node.on_persisted(now_us, persist_updates(actions)[-1].sequence_number)
     return node
 
 
@@ -160,8 +160,8 @@
         2 * TIMEOUT_US, "b", RequestVoteReply(2, True, True, VoterIdentity(9, 1 << INCARNATION_NONCE_BITS, 1))
     )
     assert node.role is Role.PRE_CANDIDATE
-    fresh = create_node("a", disk=9)
-    assert not fresh.is_voter and fresh.next_wakeup_us == NEVER_US, (
+    replaced_disk_node = create_node("a", disk_id=9)
+    assert not replaced_disk_node.is_voter and replaced_disk_node.next_wakeup_us == NEVER_US, (
         "a voter that lost its disk does not start elections"
     )
 
@@ -229,41 +229,41 @@
 
 def test_leader_commits_entries_that_a_majority_persisted_and_is_confirmed_by_it() -> None:
     node = create_leader()
-    now = 2 * TIMEOUT_US
-    assert node.commit_index == 1 and not node.is_confirmed_leader(now)
-    node.on_message(now, "b", AppendEntriesReply(2, node.state.leadership.round_number, True, 2, IDENTITY))
+    now_us = 2 * TIMEOUT_US
+    assert node.commit_index == 1 and not node.is_confirmed_leader(now_us)
+    node.on_message(now_us, "b", AppendEntriesReply(2, node.state.leadership.round_number, True, 2, IDENTITY))
     assert (
         node.commit_index == 2
-        and node.is_ready_leader(now)
-        and not node.is_confirmed_leader(now + CONFIG.leader_lease_us)
+        and node.is_ready_leader(now_us)
+        and not node.is_confirmed_leader(now_us + CONFIG.leader_lease_us)
     )
-    index, actions = node.propose(now, Command("p", b"x"))
+    index, actions = node.propose(now_us, Command("p", b"x"))
     assert node.commit_index == 2 and index == 3
-    node.on_message(now, "b", AppendEntriesReply(2, node.state.leadership.round_number, True, 3, IDENTITY))
+    node.on_message(now_us, "b", AppendEntriesReply(2, node.state.leadership.round_number, True, 3, IDENTITY))
     assert node.commit_index == 2, "the leader has not persisted the entry yet"
-    applied = node.on_persisted(now, persist_updates(actions)[-1].sequence_number)
+    applied = node.on_persisted(now_us, persist_updates(actions)[-1].sequence_number)
     assert [each.index for each in applied if isinstance(each, ApplyEntry)] == [3]
 
 
 def test_leader_without_majority_steps_down_and_then_rejects_proposals() -> None:
     node = create_leader()
-    now = 2 * TIMEOUT_US
-    node.on_message(now, "b", AppendEntriesReply(2, node.state.leadership.round_number, True, 2, IDENTITY))
-    while node.role is Role.LEADER and now < 20 * TIMEOUT_US:
-        now = node.next_wakeup_us
-        node.on_timer(now)
-    assert node.role is Role.FOLLOWER and now < 5 * TIMEOUT_US
+    now_us = 2 * TIMEOUT_US
+    node.on_message(now_us, "b", AppendEntriesReply(2, node.state.leadership.round_number, True, 2, IDENTITY))
+    while node.role is Role.LEADER and now_us < 20 * TIMEOUT_US:
+        now_us = node.next_wakeup_us
+        node.on_timer(now_us)
+    assert node.role is Role.FOLLOWER and now_us < 5 * TIMEOUT_US
     with pytest.raises(NotLeaderError):
-        node.propose(now, Command("p", b""))
+        node.propose(now_us, Command("p", b""))
 
 
 def test_voters_change_one_at_a_time_after_the_first_entry_of_the_term_is_committed() -> None:
     node = create_leader()
-    now = 2 * TIMEOUT_US
+    now_us = 2 * TIMEOUT_US
     with_new_voter = (*THREE_VOTERS, Voter("d", 1))
     with pytest.raises(VoterChangeError, match="first entry of this leader"):
-        node.propose(now, VoterConfiguration("v", with_new_voter))
-    node.on_message(now, "b", AppendEntriesReply(2, node.state.leadership.round_number, True, 2, IDENTITY))
+        node.propose(now_us, VoterConfiguration("v", with_new_voter))
+    node.on_message(now_us, "b", AppendEntriesReply(2, node.state.leadership.round_number, True, 2, IDENTITY))
     for invalid in (
         (*with_new_voter, Voter("e", 1)),
         (*THREE_VOTERS[:2], Voter("c", 2)),
@@ -271,28 +271,32 @@
         (),
     ):
         with pytest.raises(VoterChangeError):
-            node.propose(now, VoterConfiguration("v", invalid))
-    node.propose(now, VoterConfiguration("v", with_new_voter))
+            node.propose(now_us, VoterConfiguration("v", invalid))
+    node.propose(now_us, VoterConfiguration("v", with_new_voter))
     assert len(node.voters) == 4, "the change takes effect as soon as it is appended"
     with pytest.raises(VoterChangeError, match="previous change of the voters"):
-        node.propose(now, VoterConfiguration("w", THREE_VOTERS))
+        node.propose(now_us, VoterConfiguration("w", THREE_VOTERS))
 
 
 def test_date_is_past_by_the_clocks_of_a_majority() -> None:
     node = create_leader()
-    now, date = 2 * TIMEOUT_US, 1_000_000_000
+    now_us, date_us = 2 * TIMEOUT_US, 1_000_000_000
     node.on_message(
-        now, "b", AppendEntriesReply(2, node.state.leadership.round_number, True, 2, IDENTITY, date - 50)
+        now_us,
+        "b",
+        AppendEntriesReply(2, node.state.leadership.round_number, True, 2, IDENTITY, date_us - 50),
     )
-    assert not node.is_past_for_majority(now, date, date + 3_600_000_000), (
+    assert not node.is_past_for_majority(now_us, date_us, date_us + 3_600_000_000), (
         "one clock that is an hour ahead does not decide"
     )
-    assert not node.is_past_for_majority(now, date, date - 1)
+    assert not node.is_past_for_majority(now_us, date_us, date_us - 1)
     node.on_message(
-        now, "c", AppendEntriesReply(2, node.state.leadership.round_number, True, 2, IDENTITY, date + 1)
+        now_us, "c", AppendEntriesReply(2, node.state.leadership.round_number, True, 2, IDENTITY, date_us + 1)
+    )
+    assert node.is_past_for_majority(now_us, date_us, date_us) and not node.is_past_for_majority(
+        now_us, date_us, date_us - 1
     )
-    assert node.is_past_for_majority(now, date, date) and not node.is_past_for_majority(now, date, date - 1)
-    assert node.is_past_for_majority(now + 1000, date, date - 1), (
+    assert node.is_past_for_majority(now_us + 1000, date_us, date_us - 1), (
         "the time since the replies is added to the followers' clocks"
     )
 
@@ -324,9 +328,9 @@
     for number in range(1000):
         node.on_message(0, "a", AppendEntries(1, number, 1, 1, (LogEntry(1, Noop()),), 1))
     assert len(node.state.outbox.deferred) == MAX_DEFERRED_MESSAGES
-    late = sent_messages(node.on_persisted(0, 99))
-    assert len(late) == MAX_DEFERRED_MESSAGES and node.state.outbox.deferred == []
-    assert isinstance(late[-1][1], AppendEntriesReply) and late[-1][1].round_number == 999
+    released = sent_messages(node.on_persisted(0, 99))
+    assert len(released) == MAX_DEFERRED_MESSAGES and node.state.outbox.deferred == []
+    assert isinstance(released[-1][1], AppendEntriesReply) and released[-1][1].round_number == 999
 
 
 def test_learner_fetches_only_committed_entries_from_any_member() -> None:
@@ -340,13 +344,15 @@
         and learner.log.entries == source.log.entries[:150]
     )
     source.compact(140, b"state")
-    late = RaftNode("y", 6, 1 << INCARNATION_NONCE_BITS, random.Random(3), CONFIG, PersistentState(), 0)
+    late_learner = RaftNode(
+        "y", 6, 1 << INCARNATION_NONCE_BITS, random.Random(3), CONFIG, PersistentState(), 0
+    )
     ((_, reply),) = sent_messages(source.on_message(0, "y", FetchCommitted(0)))
-    actions = late.on_message(0, "b", reply)
+    actions = late_learner.on_message(0, "b", reply)
     assert (
         RestoreSnapshot(source.log.snapshot) in actions
-        and late.commit_index == 150
-        and late.voters == THREE_VOTERS
+        and late_learner.commit_index == 150
+        and late_learner.voters == THREE_VOTERS
     )
 
 
@@ -519,36 +525,41 @@
     folder.store.persist(create_update(101, snapshot=Snapshot(90, 3, THREE_VOTERS, b"state")))
     folder.settle()
     folder.store.close()
-    again = StoreFixture(tmp_path)
+    reopened = StoreFixture(tmp_path)
     assert (
-        again.store.persistent_state.snapshot.last_included_index == 90
-        and len(again.store.persistent_state.entries) == 10
+        reopened.store.persistent_state.snapshot.last_included_index == 90
+        and len(reopened.store.persistent_state.entries) == 10
     )
     assert (tmp_path / "log").stat().st_size < 4000
-    again.store.close()
+    reopened.store.close()
 
 
 def test_partial_last_record_is_dropped_and_other_damage_is_corruption() -> None:
-    one, two = encode_record(create_update(1, 1, "p")), encode_record(create_update(2, 2, "q"))
-    whole, size = decode_records(one + two)
-    assert len(whole.entries) == 2 and size == len(one + two)
-    for cut in range(len(two)):
-        state, size = decode_records(one + two[:cut])
-        assert len(state.entries) == 1 and size == len(one)
-    assert decode_records(one + bytes(40))[1] == len(one), "zero bytes at the end are ignored"
-    for place in range(len(one)):
+    first_record, second_record = (
+        encode_record(create_update(1, 1, "p")),
+        encode_record(create_update(2, 2, "q")),
+    )
+    whole, size = decode_records(first_record + second_record)
+    assert len(whole.entries) == 2 and size == len(first_record + second_record)
+    for cut in range(len(second_record)):
+        state, size = decode_records(first_record + second_record[:cut])
+        assert len(state.entries) == 1 and size == len(first_record)
+    assert decode_records(first_record + bytes(40))[1] == len(first_record), (
+        "zero bytes at the end are ignored"
+    )
+    for position in range(len(first_record)):
         for bit in (1, 128):
-            flipped = bytearray(one + two)
-            flipped[place] ^= bit
+            flipped = bytearray(first_record + second_record)
+            flipped[position] ^= bit
             try:
                 state, _ = decode_records(bytes(flipped))
             except StoreCorruptedError:
                 continue
-            assert place < RECORD_HEADER_BYTES - 8 and state.sequence_number == 0, (
+            assert position < RECORD_HEADER_BYTES - 8 and state.sequence_number == 0, (
                 "undetected damage is limited to a length that reaches past the end of the file"
             )
     with pytest.raises(StoreCorruptedError):
-        decode_records(two + one)
+        decode_records(second_record + first_record)
 
 
 def test_full_disk_stops_writing_and_is_reported_once(tmp_path: Path, monkeypatch: Any) -> None:
