--- a/honeybarrow/consensus/node.py
+++ b/honeybarrow/consensus/node.py
@@ -153,7 +153,7 @@
 
         Such a leader knows all committed entries.
         """
-        is_caught_up = self.state.commit_index >= self.state.leadership.first_own_index
+        is_caught_up = self.state.commit_index >= self.state.leadership.term_start_index
         return self.is_confirmed_leader(now_us) and is_caught_up
 
     def is_past_for_majority(self, now_us: int, date_us: int, own_wall_clock_us: int) -> bool:
--- a/honeybarrow/consensus/replication.py
+++ b/honeybarrow/consensus/replication.py
@@ -77,20 +77,20 @@
         """Become leader: append the first entry of the new term and send it to all voters."""
         state, leadership = self.state, self.state.leadership
         state.change_role(Role.LEADER, state.name)
-        leadership.since_us = now_us
+        leadership.leader_since_us = now_us
         next_index = state.log.last_index + 1
         leadership.peers = {
             voter.name: PeerProgress(next_index) for voter in state.log.voters if voter.name != state.name
         }
         state.append([LogEntry(state.term, Noop())])
-        leadership.first_own_index = state.log.last_index
+        leadership.term_start_index = state.log.last_index
         self.send_heartbeats(now_us)
         self.advance_commit_index()
 
     def on_timer(self, now_us: int) -> None:
         """Send heartbeats when they are due, or step down if no majority replies."""
         state, timeout_us = self.state, self.state.config.election_timeout_us
-        is_established = now_us >= state.leadership.since_us + 2 * timeout_us
+        is_established = now_us >= state.leadership.leader_since_us + 2 * timeout_us
         if now_us >= self.lease_end_us() + timeout_us and is_established:
             # A leader that can send but not receive would otherwise remain leader indefinitely.
             state.change_role(Role.FOLLOWER, "")
@@ -207,7 +207,7 @@
                 "a change must add or remove exactly one",
             )
         is_previous_open = state.log.configuration_index > state.commit_index
-        if is_previous_open or state.commit_index < state.leadership.first_own_index:
+        if is_previous_open or state.commit_index < state.leadership.term_start_index:
             raise VoterChangeError(
                 f"proposed voters {names}",
                 "the previous change of the voters, or the first entry of this leader, is not committed yet",
--- a/honeybarrow/consensus/state.py
+++ b/honeybarrow/consensus/state.py
@@ -61,8 +61,8 @@
     round_number: int = 0
     round_sent_us: OrderedDict[int, int] = field(default_factory=OrderedDict)  # by round number
     heartbeat_due_us: int = NEVER_US
-    since_us: int = 0  # time of the election
-    first_own_index: int = 0  # index of the first entry of its term
+    leader_since_us: int = 0
+    term_start_index: int = 0  # index of the first entry of its term
 
 
 class NodeState:
--- a/tests/consensus_model.py
+++ b/tests/consensus_model.py
@@ -105,7 +105,7 @@
                 tuple((n - persisted, last) for n, last in outbox.pending_writes.items()),
                 tuple((n - persisted, send) for n, send in outbox.deferred),
                 tuple(sorted(election.votes_received)),
-                tuple((n, p.next_index, p.match_index) for n, p in peers), state.leadership.first_own_index,
+                tuple((n, p.next_index, p.match_index) for n, p in peers), state.leadership.term_start_index,
             )  # fmt: skip
         return self.__dict__["_model_key"]  # type: ignore[no-any-return]
 
