--- a/honeybarrow/consensus/writer.py
+++ b/honeybarrow/consensus/writer.py
@@ -6,7 +6,7 @@
 writer's own, and any thread that calls ``get_stats`` (a metrics scrape, an operator's query). One lock guards
 the shared state. It is never held during disk I/O.
 
-Invariants, each checked over all thread schedules by ``tests/test_interleaving_explorer.py``:
+Invariants, checked in all thread schedules of small workloads by ``tests/test_interleaving_explorer.py``:
 
 - The persisted count grows only after the write has returned.
 - A failed write ends all writing, since an item after a gap must never count as persisted.
--- a/tests/consensus_model.py
+++ b/tests/consensus_model.py
@@ -3,7 +3,7 @@
 The network is a set from which messages are never removed, so each may be lost, repeated or reordered. A disk
 persists updates one by one. A crash loses the updates that are not persisted, and may lose the disk. Time is
 not modelled: a voter may start an election at any moment. This allows more executions than real clocks do, so
-safety is shown not to depend on leader stickiness.
+the checked properties must hold without leader stickiness.
 """
 
 from __future__ import annotations
