--- a/honeybarrow/lab/consensus_cluster.py
+++ b/honeybarrow/lab/consensus_cluster.py
@@ -1,10 +1,10 @@
-"""A consensus cluster in simulated time: the very :class:`RaftNode` of each member, with links and disks
-modelled.
+"""Simulates a consensus cluster: production :class:`RaftNode` instances on modelled links and disks.
 
-Links delay, lose and repeat; they are cut, in both directions or one; members are killed and started again,
-paused, or lose their disk. Proposals are handed to random members, who know a leader or do not, some twice or
-to two of them. What was acknowledged, and what each member applied, is a history that :func:`find_violations`
-checks against what the log promises. Figures from here are the model's. Times are microseconds.
+Links delay, lose and duplicate messages and can be cut in one or both directions. Members are killed and
+restarted, paused, or lose their disk. A workload proposes commands through random members; some commands are
+proposed twice. The run records acknowledged proposals and applied entries, and :func:`find_violations` checks
+this history against the guarantees of the replicated log. All times are in microseconds of simulated time;
+durations measured here are those of the model, not of a deployment.
 """
 
 from __future__ import annotations
@@ -32,16 +32,16 @@
 from honeybarrow.consensus.persistent_state import PersistentState
 
 SECOND_US = 1_000_000
-SLOW_DELAY_FACTOR = 20  # on the delays of a member whose links are slow
+SLOW_DELAY_FACTOR = 20  # multiplies the delays of a member with slow links
 
 
 class FaultKind(enum.Enum):
-    """What can happen to members. A plan draws from them in this order."""
+    """Kinds of faults. :func:`draw_plan` indexes them in this order, so the order affects seeded runs."""
 
     KILL = "kill"
     PAUSE = "pause"
-    CUT = "cut"  # from all others, in both directions
-    ONE_WAY_CUT = "one-way cut"  # nothing that it sends arrives
+    CUT = "cut"  # from all other members, in both directions
+    ONE_WAY_CUT = "one-way cut"  # messages from the member are lost
     DISK_LOST = "disk lost"
     SLOW_LINKS = "slow links"
     ALL_KILLED = "all killed"
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A fault and whom it concerns: ``members`` by their place in the cluster."""
+    """A fault and the positions of the affected members in the cluster."""
 
     kind: FaultKind
     start_us: int
@@ -62,7 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterPlan:
-    """A cluster, its links and disks, and what is proposed. Rates are shares of messages."""
+    """Parameters of a run: members, links, disks, workload and faults.
+
+    Rates are fractions of messages between 0 and 1.
+    """
 
     voters: int = 3
     learners: int = 2
@@ -78,7 +81,7 @@
 
 @dataclass(slots=True)
 class _Member:
-    """One process, its disk, and what it has applied."""
+    """A member's process, its disk, and the entries that it has applied."""
 
     name: str
     node: RaftNode
@@ -95,7 +98,7 @@
 
 @dataclass(slots=True)
 class AcknowledgedProposal:
-    """A proposal that was acknowledged: its place, and when it was proposed and acknowledged."""
+    """An acknowledged proposal with its log index and the times of proposal and acknowledgment."""
 
     proposal_id: str
     index: int
@@ -105,7 +108,11 @@
 
 @dataclass(slots=True)
 class ClusterHistory:
-    """What happened in a run. ``leaders``: by term; ``elected_us``: when a member became leader."""
+    """The recorded history of a run.
+
+    ``leaders`` maps a term to its leader; ``elected_us`` lists the times at which a member became leader;
+    ``committed`` maps a log index to its entry.
+    """
 
     acknowledged: list[AcknowledgedProposal] = field(default_factory=list)
     proposed: int = 0
@@ -119,12 +126,15 @@
 
 
 class ConsensusCluster:
-    """The members, their links and disks. ``node_type`` is what each runs, so that a mutant can."""
+    """A cluster of members with simulated links and disks.
+
+    ``node_type`` is the node class that members run; tests pass faulty subclasses.
+    """
 
     def __init__(self, plan: ClusterPlan, seed: int, node_type: type[RaftNode] = RaftNode) -> None:
         self.plan, self.node_type = plan, node_type
-        self.rng = random.Random(f"agreeing/{seed}")  # the seed's text is kept: it fixes what is drawn
-        self.now_us, self.order = SECOND_US, 0
+        self.rng = random.Random(f"agreeing/{seed}")  # changing this text changes all seeded runs
+        self.now_us, self.sequence_number = SECOND_US, 0
         self.queue: list[tuple[int, int, Callable[[], None]]] = []
         self.history = ClusterHistory()
         self.cut_until_us: dict[tuple[str, str], int] = {}
@@ -141,7 +151,7 @@
             self._schedule_timer(member)
 
     def run(self) -> ClusterHistory:
-        """Run the plan to its end, and a calm while after it."""
+        """Run the plan, then a fault-free period in which members catch up, and return the history."""
         for fault in self.plan.faults:
             self.schedule(fault.start_us, lambda f=fault: self.start_fault(f))  # type: ignore[misc]
         end_us = SECOND_US + self.plan.duration_us
@@ -152,16 +162,16 @@
                 self.now_us + self.rng.randrange(SECOND_US // 4),
                 lambda m=member: self._request_committed(m, end_us),  # type: ignore[misc]
             )
-        calm_end_us = end_us + 8 * SECOND_US
-        while self.queue and self.queue[0][0] <= calm_end_us:
+        quiet_end_us = end_us + 8 * SECOND_US
+        while self.queue and self.queue[0][0] <= quiet_end_us:
             self.now_us, _, call = heapq.heappop(self.queue)
             call()
         return self.history
 
     def schedule(self, at_us: int, call: Callable[[], None]) -> None:
-        """Call this at a moment of simulated time; calls of one moment come in the order of scheduling."""
-        self.order += 1
-        heapq.heappush(self.queue, (at_us, self.order, call))
+        """Schedule a call; calls scheduled for the same time run in the order of scheduling."""
+        self.sequence_number += 1
+        heapq.heappush(self.queue, (at_us, self.sequence_number, call))
 
     def _create_node(self, name: str, disk_id: int, start_count: int, state: PersistentState) -> RaftNode:
         incarnation = (start_count << INCARNATION_NONCE_BITS) + self.rng.randrange(
@@ -170,7 +180,7 @@
         rng = random.Random(self.rng.random())
         return self.node_type(name, disk_id, incarnation, rng, self.plan.config, state.copy(), self.now_us)
 
-    # what a member wants done
+    # actions of a node
 
     def _run_node(self, member: _Member, call: Callable[[], list[Action]]) -> None:
         try:
@@ -194,15 +204,17 @@
                 case ApplyEntry(index, entry):
                     self._record_applied(member, index, entry)
                 case RoleChanged(Role.LEADER, _, term):
-                    known = self.history.leaders.setdefault(term, member.name)
-                    if known != member.name:
-                        self.history.violations.append(f"term {term}: {known} and {member.name} lead")
+                    known_leader = self.history.leaders.setdefault(term, member.name)
+                    if known_leader != member.name:
+                        self.history.violations.append(
+                            f"term {term}: {known_leader} and {member.name} are both leader"
+                        )
                     self.history.elected_us.append(self.now_us)
                 case DiskRolledBack(name):
                     self.history.violations.append(f"{member.name}: the disk of {name} was rolled back")
 
     def _persist(self, member: _Member, update: PersistState) -> None:
-        # One disk writes one update after the other, in order.
+        # The disk persists updates one at a time, in order.
         sync_us = self.rng.randint(*self.plan.sync_range_us)
         member.disk_busy_until_us = max(member.disk_busy_until_us, self.now_us) + sync_us
         process_number = member.process_number
@@ -210,9 +222,11 @@
 
     def _record_applied(self, member: _Member, index: int, entry: LogEntry) -> None:
         member.applied[index] = entry
-        known = self.history.committed.setdefault(index, entry)
-        if known != entry:
-            self.history.violations.append(f"{member.name}: entry {index} is committed in two ways")
+        known_entry = self.history.committed.setdefault(index, entry)
+        if known_entry != entry:
+            self.history.violations.append(
+                f"{member.name}: entry {index} was committed with two different values"
+            )
         if (pending := self.pending_proposals.pop((member.name, index), None)) is not None:
             proposal_id, proposed_us = pending
             if isinstance(entry.body, Command) and entry.body.proposal_id == proposal_id:
@@ -275,7 +289,7 @@
         )
 
     def _request_committed(self, member: _Member, end_us: int) -> None:
-        """A learner, and a voter that hears no leader, ask somebody for what is committed."""
+        """Fetch committed entries from a random member if this one hears no leader; repeat periodically."""
         if member.is_running and not member.is_paused and not member.node.hears_leader(self.now_us):
             other = self.rng.choice([name for name in self.members if name != member.name])
             self._send(member.name, other, FetchCommitted(member.node.commit_index))
@@ -308,8 +322,9 @@
         self._run_node(member, lambda: result.actions)
 
     def _readmit_voters(self, end_us: int) -> None:
-        """An operator's part: a voter that came back with an empty disk is removed, and added again once it
-        has the log.
+        """Remove voters that restarted with an empty disk, and add them again once they have the log.
+
+        This does what an operator does in a deployment. It repeats until ``end_us``.
         """
         if self.now_us < end_us:
             self.schedule(self.now_us + SECOND_US // 3, lambda: self._readmit_voters(end_us))
@@ -338,30 +353,30 @@
     # faults
 
     def start_fault(self, fault: Fault) -> None:
-        """Let a fault begin now."""
+        """Start a fault now."""
         names = list(self.members)
-        concerned = [names[place % len(names)] for place in fault.members]
+        affected = [names[position % len(names)] for position in fault.members]
         until_us = self.now_us + fault.duration_us
         match fault.kind:
             case FaultKind.KILL | FaultKind.DISK_LOST:
-                for name in concerned:
+                for name in affected:
                     self._kill_member(self.members[name], fault)
             case FaultKind.ALL_KILLED:
                 for name in names:
                     self._kill_member(self.members[name], fault)
             case FaultKind.PAUSE:
-                for name in concerned:
+                for name in affected:
                     self.members[name].is_paused = True
                     self.schedule(until_us, lambda n=name: self._resume(self.members[n]))  # type: ignore[misc]
             case FaultKind.SLOW_LINKS:
-                self.slow_until_us.update(dict.fromkeys(concerned, until_us))
+                self.slow_until_us.update(dict.fromkeys(affected, until_us))
             case FaultKind.CUT | FaultKind.ONE_WAY_CUT:
-                self._cut_links(concerned, until_us, fault.kind is FaultKind.CUT)
+                self._cut_links(affected, until_us, fault.kind is FaultKind.CUT)
 
-    def _cut_links(self, concerned: list[str], until_us: int, in_both_directions: bool) -> None:
-        for name in concerned:
+    def _cut_links(self, affected: list[str], until_us: int, in_both_directions: bool) -> None:
+        for name in affected:
             for other in self.members:
-                if other not in concerned:
+                if other not in affected:
                     self.cut_until_us[name, other] = until_us
                     if in_both_directions:
                         self.cut_until_us[other, name] = until_us
@@ -394,8 +409,10 @@
 
 
 def find_violations(cluster: ConsensusCluster) -> list[str]:
-    """Violations of the log's guarantees: one order for all, nothing acknowledged is lost or reordered, and
-    all members catch up.
+    """Return the violations of the log's guarantees in a finished run.
+
+    All members apply the same entries, acknowledged proposals are neither lost nor reordered, and running
+    members have caught up.
     """
     history = cluster.history
     violations = list(history.violations)
@@ -406,38 +423,40 @@
             or not isinstance(entry.body, Command)
             or entry.body.proposal_id != proposal.proposal_id
         ):
-            violations.append(f"{proposal.proposal_id} was acknowledged at {proposal.index} and is not there")
+            violations.append(
+                f"{proposal.proposal_id} was acknowledged at index {proposal.index} but not committed there"
+            )
     violations += _find_order_violations(history.acknowledged)
     last_committed = max(history.committed, default=0)
     for member in cluster.members.values():
         is_behind = member.node.commit_index < last_committed - 1
         if member.is_running and is_behind and not member.is_paused:
             violations.append(
-                f"{member.name} knows {member.node.commit_index} of {last_committed} entries after the calm"
+                f"{member.name} is behind: commit index {member.node.commit_index} of {last_committed}"
             )
     return violations
 
 
 def _find_order_violations(acknowledged: list[AcknowledgedProposal]) -> list[str]:
-    """Linearizable: what was acknowledged before another was proposed stands before it."""
+    """Check linearizability: a proposal follows all that were acknowledged before it was proposed."""
     violations: list[str] = []
-    highest: list[tuple[int, int]] = []  # the highest acknowledged index by time
+    highest: list[tuple[int, int]] = []  # time, and the highest index acknowledged by then
     for proposal in sorted(acknowledged, key=lambda each: each.acknowledged_us):
         index = max(proposal.index, highest[-1][1] if highest else 0)
         highest.append((proposal.acknowledged_us, index))
     for proposal in acknowledged:
-        before = [index for at_us, index in highest if at_us < proposal.proposed_us]
-        if before and before[-1] > proposal.index:
+        earlier_indexes = [index for at_us, index in highest if at_us < proposal.proposed_us]
+        if earlier_indexes and earlier_indexes[-1] > proposal.index:
             violations.append(
-                f"{proposal.proposal_id} stands at {proposal.index}, "
-                "after one that was acknowledged before it was proposed"
+                f"{proposal.proposal_id} is at index {proposal.index}, "
+                "lower than that of a proposal acknowledged before it was proposed"
             )
     return violations
 
 
 def draw_plan(seed: int, voters: int = 3, learners: int = 2) -> ClusterPlan:
-    """A plan with drawn faults. One disk is lost at most, for a majority has to remain."""
-    rng = random.Random(f"agreeing day/{seed}")  # the seed's text is kept: it fixes what is drawn
+    """Draw a plan with random faults, losing at most one disk so that a majority of voters keeps the log."""
+    rng = random.Random(f"agreeing day/{seed}")  # changing this text changes all seeded runs
     faults: list[Fault] = []
     start_us, disks_lost = 2 * SECOND_US, 0
     while start_us < 18 * SECOND_US:
--- a/honeybarrow/lab/fault_search.py
+++ b/honeybarrow/lab/fault_search.py
@@ -1,7 +1,7 @@
-"""Searches for runs that violate a rule or lose utility, and minimizes them.
+"""Searches simulated runs with random faults for rule violations and lost utility, and minimizes them.
 
-Faults are drawn for a scenario's own partners, endpoints, forwarders and clients: which, when, for how long,
-how severe. A run that violates a rule ranks before any that does not, then the one that loses more utility.
+Kind, target, start, duration and magnitude of each fault are random; targets are the partners, endpoints,
+forwarders and clients of the scenario. Runs that violate a rule rank first, then those with less utility.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 
 class TargetGroup(enum.Enum):
-    """What a fault strikes."""
+    """Groups of targets of faults."""
 
     PARTNER = "partner"
-    ENDPOINT = "endpoint"  # of a partner that has several
+    ENDPOINT = "endpoint"  # of a partner with several endpoints
     ADDRESS = "address"
     FORWARDER = "forwarder"
     CLIENT = "client"
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultRange:
-    """From what faults of a kind are drawn: targets, and uniform magnitudes and durations in seconds."""
+    """Target group of a kind of fault, and ranges of its uniformly drawn magnitude and duration."""
 
     group: TargetGroup
     magnitude: tuple[float, float] = (1.0, 1.0)
@@ -64,13 +64,13 @@
     "stall": FaultRange(TargetGroup.FORWARDER, (1.0, 1.0), (0.1, 3.0)),
     "burst": FaultRange(TargetGroup.CLIENT, (1.5, 6.0), (0.5, 5.0)),
 }
-FAULT_COUNT_RANGE = (1, 6)  # in one run
+FAULT_COUNT_RANGE = (1, 6)  # per run
 MAX_MINIMIZE_RUNS = 60
 
 
 @dataclass(frozen=True, slots=True)
 class RunOutcome:
-    """What came of one run. ``error``: what went wrong in the program, if anything did."""
+    """The outcome of one run. ``error`` describes an exception raised by the program, empty if none."""
 
     seed: int
     faults: tuple[Fault, ...]
@@ -80,26 +80,26 @@
 
     @property
     def severity_rank(self) -> tuple[int, float, int]:
-        """The key that sorts outcomes, the worst first."""
+        """Sort key that puts the worst outcome first."""
         return (-(bool(self.error) * 100 + len(self.violated_rules)), self.utility, self.seed)
 
 
 def draw_faults(config: SimulationConfig, seed: int) -> SimulationConfig:
-    """Draw faults for a scenario in place of its own, the same ones for the same seed."""
+    """Return the configuration with its faults replaced by random ones that depend on ``seed`` alone."""
     scenario, rng = config.scenario, random.Random(f"draw/{seed}")
     targets = list_targets(config)
-    kinds = [kind for kind, each in FAULT_RANGES.items() if targets[each.group]]
+    kinds = [kind for kind, fault_range in FAULT_RANGES.items() if targets[fault_range.group]]
     faults = []
     for _ in range(rng.randint(*FAULT_COUNT_RANGE)):
         kind = rng.choice(kinds)
-        each = FAULT_RANGES[kind]
+        fault_range = FAULT_RANGES[kind]
         faults.append(
             Fault(
                 kind=kind,  # type: ignore[arg-type]
                 start_us=int(rng.uniform(0.05, 0.9) * scenario.duration_us),
-                duration_us=int(rng.uniform(*each.duration_s) * SECOND_US),
-                target=rng.choice(targets[each.group]),
-                magnitude=round(rng.uniform(*each.magnitude), 3),
+                duration_us=int(rng.uniform(*fault_range.duration_s) * SECOND_US),
+                target=rng.choice(targets[fault_range.group]),
+                magnitude=round(rng.uniform(*fault_range.magnitude), 3),
             )
         )
     faults.sort(key=lambda fault: fault.start_us)
@@ -107,7 +107,7 @@
 
 
 def list_targets(config: SimulationConfig) -> dict[TargetGroup, list[str]]:
-    """List what faults can strike, by name. The register needs none."""
+    """Return the names of possible targets by group. The register has a single, empty name."""
     scenario = config.scenario
     endpoints = [endpoint for partner in scenario.partners for endpoint in partner.endpoints]
     return {
@@ -130,16 +130,16 @@
 
 
 def with_scenario(config: SimulationConfig, **changes: Any) -> SimulationConfig:
-    """The configuration with fields of its scenario changed."""
+    """Return a copy of the configuration with fields of its scenario changed."""
     return replace(config, scenario=msgspec.structs.replace(config.scenario, **changes))
 
 
 def run_and_check(config: SimulationConfig) -> RunOutcome:
-    """Run a scenario for its outcome alone; an error of the program is worse than a violated rule."""
+    """Run a scenario and return its outcome; an exception of the program becomes part of the outcome."""
     scenario = config.scenario
     try:
         result = run_simulation(config)
-    except Exception as error:  # any error of the program is a finding, and the search goes on
+    except Exception as error:  # the search reports it and continues
         return RunOutcome(scenario.seed, scenario.faults, (), 0.0, f"{type(error).__name__}: {error}")
     return RunOutcome(scenario.seed, scenario.faults, result.rule_check.violated_rules, result.utility)
 
@@ -147,27 +147,30 @@
 def search_faults(
     config: SimulationConfig, seeds: Iterable[int], jobs: int, on_outcome: Callable[[RunOutcome], None]
 ) -> list[RunOutcome]:
-    """Run drawn faults on several cores; worst first, the same whatever the number of ``jobs``."""
+    """Run the scenario with random faults for each seed and return the outcomes, worst first.
+
+    Uses ``jobs`` processes; the result does not depend on their number.
+    """
     configs = [draw_faults(config, seed) for seed in seeds]
     outcomes = []
     if jobs <= 1:
-        for each in configs:
-            outcomes.append(run_and_check(each))
+        for candidate in configs:
+            outcomes.append(run_and_check(candidate))
             on_outcome(outcomes[-1])
     else:
         with ProcessPoolExecutor(jobs) as pool:
             for outcome in pool.map(run_and_check, configs):
                 outcomes.append(outcome)
                 on_outcome(outcome)
-    return sorted(outcomes, key=lambda each: each.severity_rank)
+    return sorted(outcomes, key=lambda outcome: outcome.severity_rank)
 
 
 def minimize(
     config: SimulationConfig, is_bad: Callable[[SimulationConfig], bool], max_runs: int = MAX_MINIMIZE_RUNS
 ) -> SimulationConfig:
-    """Minimize a run that is bad: fewer faults and clients, and a shorter scenario.
+    """Reduce the faults, clients and duration of a scenario while ``is_bad`` remains true for it.
 
-    Each step is kept only if the run stays bad; at most ``max_runs`` are tried.
+    Makes at most ``max_runs`` runs.
     """
     runs_left = max_runs
     has_changed = True
@@ -184,19 +187,19 @@
     return config
 
 
-def _without_a_fault(config: SimulationConfig, index: int) -> SimulationConfig:
+def _remove_fault(config: SimulationConfig, index: int) -> SimulationConfig:
     faults = config.scenario.faults
     return with_scenario(config, faults=faults[:index] + faults[index + 1 :])
 
 
-def _without_a_client(config: SimulationConfig, index: int) -> SimulationConfig | None:
+def _remove_client(config: SimulationConfig, index: int) -> SimulationConfig | None:
     clients = config.scenario.clients
     if len(clients) < 2 or any(fault.target == clients[index].name for fault in config.scenario.faults):
         return None
     return with_scenario(config, clients=clients[:index] + clients[index + 1 :])
 
 
-def _shortened(config: SimulationConfig, _: int) -> SimulationConfig | None:
+def _shorten(config: SimulationConfig, _: int) -> SimulationConfig | None:
     duration_us = config.scenario.duration_us * 2 // 3
     if duration_us <= 2 * SECOND_US or any(fault.start_us >= duration_us for fault in config.scenario.faults):
         return None
@@ -204,30 +207,33 @@
 
 
 class Shrinker(NamedTuple):
-    """A way to make a run smaller: how many parts it can take away, and the run without one of them."""
+    """A reduction step: the number of removable parts, and the scenario with one of them removed.
+
+    ``make_smaller`` returns None if that part cannot be removed.
+    """
 
     count: Callable[[SimulationConfig], int]
     make_smaller: Callable[[SimulationConfig, int], SimulationConfig | None]
 
 
 SHRINKERS = (
-    Shrinker(lambda config: len(config.scenario.faults), _without_a_fault),
-    Shrinker(lambda config: len(config.scenario.clients), _without_a_client),
-    Shrinker(lambda config: 1, _shortened),
+    Shrinker(lambda config: len(config.scenario.faults), _remove_fault),
+    Shrinker(lambda config: len(config.scenario.clients), _remove_client),
+    Shrinker(lambda config: 1, _shorten),
 )
 
 
 def format_script(config: SimulationConfig) -> str:
-    """Format a run as a scenario file that ``rehearse`` and ``lab run`` read, durations in microseconds."""
+    """Format a configuration as a scenario file for ``rehearse`` and ``lab run``."""
     lines = [f"# Found by the laboratory from {config.scenario.name}, seed {config.scenario.seed}."]
     lines.append("forwarders = [")
-    lines += [f"    {_format_value(each)}," for each in config.forwarders]
+    lines += [f"    {_format_value(forwarder)}," for forwarder in config.forwarders]
     lines += ["]", f"day = {_format_value(config.scenario)}", ""]
     return "\n".join(lines)
 
 
 def _format_value(value: Any) -> str:
-    """Format a value in the settings' language, records by their words and without their defaults."""
+    """Format a value in the settings language; records omit fields that have their default."""
     if isinstance(value, msgspec.Struct):
         word = next(word for word, record in SCENARIO_WORDS.items() if record is type(value))
         fields = msgspec.structs.fields(value)
--- a/honeybarrow/lab/gossip_cluster.py
+++ b/honeybarrow/lab/gossip_cluster.py
@@ -1,9 +1,9 @@
-"""A cluster of fleet members in simulated time: membership, evidence and verdicts, with modelled calls.
+"""Simulates a fleet's gossip: membership, call evidence and zone verdicts, with modelled calls to partners.
 
-For what needs hundreds of members and many days: no forwarder, no sockets. Links between members delay, lose
-and duplicate; links can be blocked; a zone, a network path or a single partner fails as a fault says. Calls
-are drawn by rate and end as the faults of their moment have it. Figures from here are the model's, not a
-forwarder's.
+Members run without forwarders and sockets, so that hundreds of them can be simulated for a long time. Links
+between members delay, lose and duplicate datagrams and can be blocked. Calls arrive at a random rate; the
+faults active when a call starts determine its result. Durations measured here are those of the model, not of
+a forwarder.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
 
 SECOND = 1_000_000
 NEVER_US = 1 << 62
-JOIN_TIMEOUT_US = SECOND  # how long a member that starts waits to hear the fleet's verdicts
+JOIN_TIMEOUT_US = SECOND  # maximum wait of a starting member for the fleet's verdicts
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneFault:
-    """Calls to ``zone`` fail from ``start_us`` for ``duration_us``.
+    """A fault that makes calls to ``zone`` fail from ``start_us`` for ``duration_us``.
 
-    Those of members in ``caller_zone`` (all if empty), to ``partners`` (all if empty), with ``probability``;
-    they end with ``status`` after ``call_duration_us``.
+    It affects calls from members in ``caller_zone`` (all if empty) to ``partners`` (all if empty), each with
+    ``probability``. Affected calls end with ``status`` after ``call_duration_us``.
     """
 
     zone: str
@@ -48,7 +48,7 @@
     call_duration_us: int = 1_300_000
 
     def affects(self, now_us: int, origin_zone: str, zone: str, partner: int) -> bool:
-        """Whether a call from ``origin_zone`` to a partner's endpoint in ``zone`` meets this fault now."""
+        """Return whether this fault can affect a call from ``origin_zone`` to a partner in ``zone`` now."""
         is_active = self.start_us <= now_us < self.start_us + self.duration_us
         is_from_caller = not self.caller_zone or origin_zone == self.caller_zone
         is_inside = zone == self.zone or zone.startswith(self.zone + "/")
@@ -58,15 +58,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterConfig:
-    """A fleet, its partners and its links.
+    """Parameters of a simulated fleet, its partners and links.
 
-    ``calls_per_second``: of each member; ``endpoint_weight``: a partner's listed limit.
+    ``calls_per_second`` is the rate of each member; ``endpoint_weight`` is the weight of each endpoint in the
+    endpoint list.
     """
 
     zones: tuple[str, ...] = ("a", "b", "c")
     member_count: int = 9
     partner_count: int = 6
-    endpoints_per_zone: int = 1  # of each partner in each zone
+    endpoints_per_zone: int = 1  # for each partner
     calls_per_second: float = 6.0
     endpoint_weight: float = 1e6
     datagram_loss: float = 0.0  # on links between members
@@ -77,7 +78,7 @@
 
 @dataclass(slots=True)
 class ModelCall:
-    """One call and its result."""
+    """A simulated call; ``is_lost`` is true if it did not succeed."""
 
     sent_us: int
     member: str
@@ -88,7 +89,7 @@
 
 @dataclass(slots=True)
 class ClusterMember:
-    """One member's process: its parts, without a forwarder."""
+    """The parts of a member's process that take part in gossip."""
 
     name: str
     zone: str
@@ -100,12 +101,12 @@
     call_count: int = 0
 
     def is_ready(self, now_us: int) -> bool:
-        """Whether it has joined, or has waited for that long enough."""
+        """Return whether the member has joined or its join timeout has passed."""
         return self.membership.has_joined or now_us >= self.started_us + JOIN_TIMEOUT_US
 
 
 class RecordedLogEvent(NamedTuple):
-    """A log line of a member about a zone."""
+    """A log line of a member about a zone, with its time."""
 
     at_us: int
     member: str
@@ -113,7 +114,7 @@
 
 
 class RecordedDeath(NamedTuple):
-    """When ``observer`` declared or learned that ``member`` is dead."""
+    """The time at which ``observer`` declared ``member`` dead or learned of its death."""
 
     at_us: int
     observer: str
@@ -122,7 +123,7 @@
 
 @dataclass(slots=True)
 class ClusterRecord:
-    """What the members sent, logged and called, in order."""
+    """The history of a run: calls, log lines, deaths and datagram counts."""
 
     calls: list[ModelCall] = field(default_factory=list)
     log_events: list[RecordedLogEvent] = field(default_factory=list)
@@ -132,7 +133,10 @@
 
 
 class GossipCluster:
-    """The members, their links and their partners; deterministic by seed."""
+    """A simulated fleet with its links and partners; the seed determines the run.
+
+    With ``uses_verdicts`` false, members call all zones regardless of verdicts.
+    """
 
     def __init__(
         self,
@@ -143,8 +147,8 @@
         uses_verdicts: bool = True,
     ) -> None:
         self.config, self.zone_config, self.evidence_config = config, zone_config, evidence_config
-        self.uses_verdicts = uses_verdicts  # whether calls keep to what the fleet decides
-        self.rng = random.Random(f"members/{seed}")
+        self.uses_verdicts = uses_verdicts
+        self.rng = random.Random(f"members/{seed}")  # changing this text changes all seeded runs
         self.now_us, self._next_event_number = SECOND, 0
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self.names = [f"m{number}" for number in range(config.member_count)]
@@ -152,7 +156,7 @@
         self.members: dict[str, ClusterMember] = {}
         self.incarnations: dict[str, int] = {}
         self.saved_verdicts: dict[str, VerdictSync] = {}
-        self.blocked_links: dict[tuple[str, str], None] = {}  # by sender and receiver: nothing arrives
+        self.blocked_links: dict[tuple[str, str], None] = {}  # keyed by sender and receiver
         self.record = ClusterRecord()
         self.endpoints = [
             Endpoint(f"p{partner}-{zone}-{n}", partner, EndpointState.READY, "", zone, config.endpoint_weight)
@@ -166,7 +170,7 @@
     # faults of members and links
 
     def start_member(self, name: str) -> None:
-        """Start a member's process, or start it again as its next incarnation."""
+        """Start a member's process, or restart it with its next incarnation."""
         incarnation = self.incarnations[name] = self.incarnations.get(name, 0) + 1
         peers = [peer for peer in self.names[:5] if peer != name]
         zone = self.zone_of[name]
@@ -184,29 +188,32 @@
         self._schedule_call(member)
 
     def kill_member(self, name: str) -> None:
-        """End a member's process; what it has saved of the verdicts stays."""
+        """End a member's process; its saved verdicts remain for the next start."""
         self.saved_verdicts[name] = self.members.pop(name).zones.create_sync(self.now_us)
 
     def pause_member(self, name: str, duration_us: int) -> None:
-        """Let a member's process stand still."""
+        """Pause a member's process."""
         self.members[name].paused_until_us = self.now_us + duration_us
 
     def partition(self, names: Iterable[str], direction: str = "both") -> None:
-        """Block the links between these members and the rest: ``both``, or only what they send (``out``)."""
+        """Block the links between ``names`` and all other members.
+
+        :param direction: ``both``, or ``out`` to block only what ``names`` send.
+        """
         group = dict.fromkeys(names)
-        for one in group:
+        for name in group:
             for other in self.names:
                 if other not in group:
-                    self.blocked_links[one, other] = None
+                    self.blocked_links[name, other] = None
                     if direction == "both":
-                        self.blocked_links[other, one] = None
+                        self.blocked_links[other, name] = None
 
     def heal_partitions(self) -> None:
-        """Open all links again."""
+        """Unblock all links."""
         self.blocked_links.clear()
 
     def run(self, seconds: float) -> None:
-        """Carry out all events of the next ``seconds``."""
+        """Advance simulated time by ``seconds`` and run the events that are due."""
         end_us = self.now_us + int(seconds * SECOND)
         while self._events and self._events[0][0] <= end_us:
             self.now_us, _, callback = heapq.heappop(self._events)
@@ -214,21 +221,21 @@
         self.now_us = end_us
 
     def schedule(self, delay_us: int, callback: Callable[[], None]) -> None:
-        """Call back after a delay; events of one moment keep their order."""
+        """Schedule a callback; callbacks due at the same time run in the order of scheduling."""
         self._next_event_number += 1
         heapq.heappush(self._events, (self.now_us + max(0, delay_us), self._next_event_number, callback))
 
     # queries
 
     def zone_statuses(self, path: str, source_zone: str = "") -> dict[str, ZoneStatus]:
-        """The status of a zone, as each member knows it."""
+        """Return the status of a zone as known to each member."""
         return {
             name: member.zones.get_status(self.now_us, path, source_zone)
             for name, member in self.members.items()
         }
 
     def members_avoiding(self, zone: str, partner: int = 0) -> list[str]:
-        """Members that avoid this zone for a partner now."""
+        """Return the names of members that currently avoid a zone for a partner."""
         return [
             name
             for name, member in self.members.items()
@@ -236,11 +243,11 @@
         ]
 
     def log_events_named(self, event: str) -> list[RecordedLogEvent]:
-        """The log lines with this event name."""
-        return [each for each in self.record.log_events if each.log_event.event == event]
+        """Return the log lines with this event name."""
+        return [recorded for recorded in self.record.log_events if recorded.log_event.event == event]
 
     def calls_to(self, zone: str, since_us: int = 0, until_us: int = NEVER_US) -> list[ModelCall]:
-        """Calls into a zone that were sent in this time."""
+        """Return the calls to a zone that were sent from ``since_us`` until before ``until_us``."""
         calls = self.record.calls
         return [call for call in calls if call.zone == zone and since_us <= call.sent_us < until_us]
 
@@ -326,20 +333,20 @@
         receiver = self.members.get(to)
         if receiver is None or (sender, to) in self.blocked_links:
             return
-        if receiver.paused_until_us > self.now_us:  # it stays in the socket until then
+        if receiver.paused_until_us > self.now_us:  # the datagram waits in the socket buffer
             delay_us = receiver.paused_until_us - self.now_us + 5_000
             self.schedule(delay_us, lambda: self._deliver(sender, to, handle))
             return
         handle(receiver)
 
-    def _push_pull(self, one: ClusterMember, to: str) -> None:
+    def _push_pull(self, initiator: ClusterMember, peer_name: str) -> None:
         def exchange() -> None:
-            other = self.members.get(to)
-            if other is None or not self._is_running(one) or self._is_stream_blocked(one, other):
+            peer = self.members.get(peer_name)
+            if peer is None or not self._is_running(initiator) or self._is_stream_blocked(initiator, peer):
                 return
-            local, remote = one.membership.member_list(), other.membership.member_list()
-            local_sync, remote_sync = (each.zones.create_sync(self.now_us) for each in (one, other))
-            for member, updates, sync in ((one, remote, remote_sync), (other, local, local_sync)):
+            local, remote = initiator.membership.member_list(), peer.membership.member_list()
+            local_sync, remote_sync = (side.zones.create_sync(self.now_us) for side in (initiator, peer))
+            for member, updates, sync in ((initiator, remote, remote_sync), (peer, local, local_sync)):
                 due_us = member.membership.due_us
                 actions = member.membership.merge_member_list(self.now_us, updates)
                 self._carry_out_membership_actions(member, actions)
@@ -348,11 +355,11 @@
 
         self.schedule(2 * self._draw_delay_us(), exchange)
 
-    def _is_stream_blocked(self, one: ClusterMember, other: ClusterMember) -> bool:
-        if max(one.paused_until_us, other.paused_until_us) > self.now_us:
+    def _is_stream_blocked(self, first: ClusterMember, second: ClusterMember) -> bool:
+        if max(first.paused_until_us, second.paused_until_us) > self.now_us:
             return True
         links = self.blocked_links
-        return (one.name, other.name) in links or (other.name, one.name) in links
+        return (first.name, second.name) in links or (second.name, first.name) in links
 
     def _draw_delay_us(self) -> int:
         return self.rng.randint(*self.config.delay_range_us)
@@ -399,7 +406,7 @@
         return probed or [zone for zone, usage in usages.items() if usage is ZoneUsage.USED]
 
     def _draw_result(self, member: ClusterMember, zone: str, partner: int) -> tuple[AttemptStatus, int]:
-        """How a call ends, and after how many microseconds."""
+        """Return the status with which a call ends, and its duration in microseconds."""
         status, duration_us = AttemptStatus.OK, self.rng.randint(20_000, 80_000)
         for fault in self.config.faults:
             is_affected = fault.affects(self.now_us, member.zone, zone, partner)
--- a/honeybarrow/lab/interleaving_explorer.py
+++ b/honeybarrow/lab/interleaving_explorer.py
@@ -1,12 +1,14 @@
-"""All schedules of a few threads, one after another to the end, at the points where they can interact.
+"""Explores all interleavings of a few threads that share an object.
 
-Real threads, of which one runs at a time: each pauses where it takes a lock, waits on it, and at each line of
-the watched modules that touches an attribute while no lock is held, and goes on when the explorer resumes it.
-A run follows a prefix of choices and then the first thread that can run; what was left out on the way is
-tried in later runs, until nothing is left. So a part is explored as it stands: only its lock is handed in.
+The threads are real, but only one runs at a time. A thread pauses before it takes a lock, when it waits on
+one, and at each line of the watched modules that accesses an attribute without holding a lock; the explorer
+then resumes any runnable thread. Each run replays a prefix of choices and continues with the first runnable
+thread; the alternatives skipped on the way become prefixes of later runs. The code under test is unmodified
+except that it gets an :class:`ExploredLock`.
 
-What is not seen: two reads on one line, and code of other modules. Danger: a line inside a lock is no pause,
-for whoever needs the lock waits anyhow; one that touches the same attribute without it is one.
+Limits: two accesses on one line are not interleaved, nor is code of other modules. Threads do not pause on
+lines that hold a lock, because threads that need the lock could not run; they do pause on an access of the
+same attribute without the lock.
 """
 
 from __future__ import annotations
@@ -23,17 +25,17 @@
 from typing import Any, Generic, TypeVar
 
 Shared = TypeVar("Shared")
-# A private name; taking a lock is a pause of its own.
+# Matches lines with an attribute or a private name, except ``with``: taking a lock is a pause already.
 SHARED_ACCESS = re.compile(r"(?!\s*with ).*\b(self\.|_\w+)")
-MAX_STEP_S = 10.0  # of real time, after which a thread that was resumed is taken to hang outside the locks
+MAX_STEP_S = 10.0  # real time after which a resumed thread counts as blocked outside the explored locks
 
 
 class RunAbandoned(BaseException):
-    """Ends a thread whose run is over."""
+    """Raised in a paused thread to end it after its run."""
 
 
 class ExploredLock:
-    """Stands in for :class:`threading.Condition`: taken by ``with``, waited on and notified."""
+    """A replacement for :class:`threading.Condition` with ``with``, :meth:`wait` and :meth:`notify`."""
 
     def __init__(self, explorer: InterleavingExplorer[Any]) -> None:
         self.explorer = explorer
@@ -56,7 +58,7 @@
             thread.held_lock_count -= 1
 
     def wait(self) -> None:
-        """Release it, and take it again after a :meth:`notify`."""
+        """Release the lock, wait for :meth:`notify`, and acquire the lock again."""
         thread = self.explorer.get_current_thread()
         assert thread is not None and self.owner is thread
         self.owner, thread.awaited_lock = None, self
@@ -66,7 +68,7 @@
         thread.held_lock_count += 1
 
     def notify(self) -> None:
-        """Wake the thread that has waited longest."""
+        """Wake the first waiting thread, in the order of the thread list."""
         for thread in self.explorer.threads:
             if thread.awaited_lock is self:
                 thread.awaited_lock = None
@@ -74,7 +76,7 @@
 
 
 class _ControlledThread:
-    """One thread of a run, and where it is paused."""
+    """A thread of a run, with its pause state."""
 
     def __init__(self, explorer: InterleavingExplorer[Any], index: int, function: Callable[[], None]) -> None:
         self.explorer, self.index, self.function = explorer, index, function
@@ -88,7 +90,7 @@
 
     @property
     def can_run(self) -> bool:
-        """Whether it is neither finished nor blocked by a lock."""
+        """Whether the thread is neither finished nor blocked by a lock."""
         is_blocked = self.wanted_lock is not None and self.wanted_lock.owner is not None
         return not self.is_finished and self.awaited_lock is None and not is_blocked
 
@@ -101,7 +103,7 @@
                 self.function()
         except RunAbandoned:
             pass
-        except Exception as error:  # whatever the thread raises is the run's result
+        except Exception as error:  # reported as the violation of the run
             self.error = error
         finally:
             sys.settrace(None)
@@ -118,7 +120,7 @@
         return self._trace
 
     def pause(self, wanted_lock: ExploredLock | None) -> None:
-        """Pause here until the explorer resumes it."""
+        """Pause this thread until the explorer resumes it."""
         self.wanted_lock = wanted_lock
         self.paused.release()
         self.resume.acquire()
@@ -127,18 +129,18 @@
         self.wanted_lock = None
 
     def run_to_next_pause(self) -> None:
-        """Resume it until its next pause.
+        """Resume the thread and wait for its next pause or end.
 
-        :raises RuntimeError: if it does not come to one.
+        :raises RuntimeError: if neither happens within ``MAX_STEP_S``.
         """
         self.resume.release()
         if not self.paused.acquire(timeout=MAX_STEP_S):
-            raise RuntimeError(f"thread {self.index} hangs outside the locks")
+            raise RuntimeError(f"thread {self.index} is blocked outside the explored locks")
 
 
 @dataclass(slots=True)
 class ExplorationResult:
-    """What became of all schedules. ``is_complete``: none is left."""
+    """The result of an exploration; ``is_complete`` is true if all schedules were run without a violation."""
 
     schedules: int = 0
     longest_schedule: int = 0
@@ -150,7 +152,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Run:
-    """One run: which thread was resumed at each pause, and what was violated."""
+    """A run: the index of the thread resumed at each step, and the violation found, if any."""
 
     schedule: tuple[int, ...]
     violation: str
@@ -158,10 +160,11 @@
 
 @dataclass
 class InterleavingExplorer(Generic[Shared]):
-    """``create_shared`` makes the shared parts anew for each run; ``find_violation`` says what is wrong at
-    its end, if anything.
+    """Runs ``thread_functions`` on a shared object in all interleavings.
 
-    ``watched_files``: the ends of the file names whose lines are looked at.
+    ``create_shared`` creates the object for each run from a factory of locks. ``find_violation`` describes
+    what is wrong with it at the end of a run, or returns an empty string. ``watched_files`` are suffixes of
+    the names of source files in which unlocked accesses are pauses.
     """
 
     create_shared: Callable[[Callable[[], ExploredLock]], Shared]
@@ -172,12 +175,12 @@
     thread_local: Any = field(default_factory=threading.local)
 
     def get_current_thread(self) -> _ControlledThread | None:
-        """The thread of the run that this is; none for the one that sets up and checks."""
+        """Return the controlled thread that calls this, or None for the thread of the explorer."""
         thread: _ControlledThread | None = getattr(self.thread_local, "thread", None)
         return thread
 
     def explore_schedules(self, max_schedules: int = 100_000) -> ExplorationResult:
-        """Run schedules until one violates something, all are done, or ``max_schedules`` are."""
+        """Run schedules until one has a violation, none is left, or ``max_schedules`` were run."""
         result, started_s = ExplorationResult(), time.monotonic()
         open_prefixes: list[tuple[int, ...]] = [()]
         while open_prefixes and result.schedules < max_schedules:
@@ -193,14 +196,14 @@
 
     def _run_schedule(self, prefix: tuple[int, ...], open_prefixes: list[tuple[int, ...]]) -> _Run:
         shared = self.create_shared(lambda: ExploredLock(self))
-        functions = [functools.partial(each, shared) for each in self.thread_functions]
-        self.threads = [_ControlledThread(self, index, each) for index, each in enumerate(functions)]
+        functions = [functools.partial(function, shared) for function in self.thread_functions]
+        self.threads = [_ControlledThread(self, index, function) for index, function in enumerate(functions)]
         for thread in self.threads:
             thread.thread.start()
         schedule: list[int] = []
         try:
             for thread in self.threads:
-                thread.run_to_next_pause()  # to its first one: nothing shared is touched before
+                thread.run_to_next_pause()  # reaches its first pause, before any shared access
             while runnable := [thread for thread in self.threads if thread.can_run]:
                 if len(schedule) < len(prefix):
                     chosen = self.threads[prefix[len(schedule)]]
@@ -216,8 +219,10 @@
     def _find_violation_at_end(self, shared: Shared) -> str:
         blocked = [thread.index for thread in self.threads if not thread.is_finished]
         if blocked:
-            return f"threads {blocked} wait for ever"
-        errors = [f"thread {t.index}: {t.error!r}" for t in self.threads if t.error is not None]
+            return f"deadlock: threads {blocked} are blocked"
+        errors = [
+            f"thread {thread.index}: {thread.error!r}" for thread in self.threads if thread.error is not None
+        ]
         return "; ".join(errors) or self.find_violation(shared)
 
     def _end_threads(self) -> None:
--- a/honeybarrow/lab/message_history.py
+++ b/honeybarrow/lab/message_history.py
@@ -1,4 +1,4 @@
-"""What happened to one message in a run, from its trace, and what was logged of its endpoints then."""
+"""Extracts the history of one message from the trace of a run."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def describe_message(trace: Sequence[dict[str, Any]], message: str) -> list[str]:
-    """Describe a message: the lines of the trace on it, and between them those on its endpoints.
+    """Return the formatted trace lines of a message, with the lines about its endpoints in between.
 
-    ``message`` is the client's Message-ID or a forwarder's own id; each leads to the other.
+    :param message: the client's Message-ID or a forwarder's id; lines with either are included.
     """
     known_ids = {message}
-    for row in trace:  # a forwarder logs both ids of a message that is submitted
+    for row in trace:  # a forwarder logs both ids of a submitted message
         ids = {str(row.get(name)) for name in ("message", "ident", "message_id") if row.get(name)}
         if ids & known_ids:
             known_ids |= ids
@@ -46,6 +46,6 @@
 
 
 def mentions_endpoint(row: dict[str, Any], targets: set[Any]) -> bool:
-    """Whether the text of a log line mentions one of these endpoints."""
+    """Return whether the text of a log line contains the name of one of these endpoints."""
     text = str(row.get("text", ""))
     return any(str(target) in text for target in targets)
--- a/honeybarrow/lab/model_checker.py
+++ b/honeybarrow/lab/model_checker.py
@@ -1,9 +1,7 @@
-"""Checks all that a small model can do: breadth first, each state once, the shortest path to a violation
-kept.
+"""Explicit-state model checker: breadth-first search that finds a shortest path to a violated invariant.
 
-What is checked are the very objects that run, handed from step to step as copies; a model says which
-transitions there are, what makes two states the same, and what must hold. Bounds are the model's; a search
-that ends by itself has visited every state within them.
+States hold copies of production objects. A model defines the transitions, the equivalence of states and the
+invariants, and bounds its state space; a complete search has visited every reachable state within the bounds.
 """
 
 from __future__ import annotations
@@ -18,28 +16,28 @@
 
 
 class Model(Protocol[State]):
-    """What can happen, and what must hold."""
+    """A transition system with invariants."""
 
     def initial_state(self) -> State:
-        """Where it starts."""
+        """Return the initial state."""
         ...
 
     def successors(self, state: State) -> Iterable[tuple[str, State]]:
-        """Each transition that is possible, with its label; ``state`` itself is left as it is."""
+        """Return the label and the new state of each possible transition, without changing ``state``."""
         ...
 
     def state_key(self, state: State) -> Hashable:
-        """Equal for states that nothing can ever tell apart."""
+        """Return a key that is equal for states with equivalent behaviour."""
         ...
 
     def find_violation(self, state: State) -> str:
-        """Which invariant is violated here; empty if none is."""
+        """Return a description of the invariant that ``state`` violates, empty if none."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class SearchResult:
-    """What a search has found. ``is_complete``: all states within the model's bounds were visited."""
+    """The result of a search; ``is_complete`` is true if all states within the bounds were visited."""
 
     states: int
     transitions: int
@@ -58,7 +56,7 @@
     label: str
 
     def get_path(self) -> tuple[str, ...]:
-        """The labels of the transitions that lead here."""
+        """Return the labels of the transitions from the initial state to this one."""
         labels: list[str] = []
         node = self
         while node.parent is not None:
@@ -68,7 +66,7 @@
 
 
 def explore_states(model: Model[State], max_states: int = 1_000_000) -> SearchResult:
-    """Visit states until an invariant is violated, all are visited, or ``max_states`` are."""
+    """Visit states until an invariant is violated, none is left, or ``max_states`` were visited."""
     started_s = time.monotonic()
     first = _SearchNode(model.initial_state(), 0, None, "")
     visited = {hash(model.state_key(first.state)): None}
--- a/honeybarrow/lab/simulated_network.py
+++ b/honeybarrow/lab/simulated_network.py
@@ -1,9 +1,9 @@
-"""A simulated clock and network that Twisted's protocols run on unchanged.
+"""A discrete-event simulation of clock and network that runs unmodified Twisted protocols.
 
-A :class:`NetworkSimulator` has one order of events, by time and then by the order in which they were
-scheduled. A :class:`SimulatedHost` is what one process sees of it: a reactor, whose timers, listeners and
-connections end with the process. Nothing here reads a clock, the environment or the order of a set: one seed
-gives one run.
+:class:`NetworkSimulator` runs events in the order of their time, and events of the same time in the order of
+scheduling. :class:`SimulatedHost` is the reactor of one process; its timers, listeners and connections end
+with the process. No code here depends on a real clock, the environment or the order of a set, so that a seed
+determines the run.
 """
 
 from __future__ import annotations
@@ -26,12 +26,15 @@
 )
 from honeybarrow.rehearsal.fault_injection import UNIMPAIRED, LinkCondition
 
-MAX_EVENTS_PER_SECOND = 500_000  # some hundred times those of a busy scenario
+MAX_EVENTS_PER_SECOND = 500_000  # of simulated time; more indicates an endless loop of timers
 
 
 @dataclass(frozen=True, slots=True)
 class LinkConfig:
-    """How bytes travel in one direction: delay, jitter, bandwidth, and how probably a write is split."""
+    """Properties of every link, in each direction.
+
+    ``split_probability`` is the probability that a piece of a write is split further.
+    """
 
     delay_us: int = 50
     jitter_us: int = 30
@@ -40,7 +43,7 @@
 
 
 class SimulatedTimer:
-    """A call that is due later, as ``IDelayedCall`` has it."""
+    """A scheduled call with the interface of ``IDelayedCall``."""
 
     __slots__ = ("_action", "_called", "_cancelled", "due_us", "host")
 
@@ -49,11 +52,11 @@
         self._called = self._cancelled = False
 
     def active(self) -> bool:
-        """Whether the call is still due."""
+        """Return whether the call is still pending."""
         return not (self._called or self._cancelled)
 
     def cancel(self) -> None:
-        """Drop the call. Raises ``AlreadyCalled`` or ``AlreadyCancelled``."""
+        """Cancel the call. Raises ``AlreadyCalled`` or ``AlreadyCancelled``."""
         if self._called:
             raise AlreadyCalled
         if self._cancelled:
@@ -61,34 +64,39 @@
         self._cancelled = True
 
     def fire(self) -> None:
-        """Make the call, unless it was made or dropped."""
+        """Make the call unless it was made or cancelled."""
         if self.active():
             self._called = True
             self._action()
 
 
 class NetworkSimulator:
-    """Time, the order of events, and who listens where. It starts at one second."""
+    """Simulated time, the event queue, and the open listeners and sockets.
+
+    Time starts at one second.
+    """
 
     def __init__(self, seed: int, link: LinkConfig | None = None) -> None:
-        self.rng = random.Random(f"world/{seed}")
+        self.rng = random.Random(f"world/{seed}")  # changing this text changes all seeded runs
         self.link = link or LinkConfig()
-        self.now_us = SECOND_US  # not 0: a program may take 0 for never
+        self.now_us = SECOND_US  # not 0, which programs may treat as unset
         self.event_count = 0
         self._window_start_us, self._events_in_window = 0, 0
         self._queue: list[tuple[int, int, SimulatedTimer]] = []
         self._sequence = 0
         self.listeners: dict[NetworkAddress, SimulatedListener] = {}
         self.udp_sockets: dict[NetworkAddress, SimulatedUdpSocket] = {}
-        self.link_conditions: dict[tuple[str, str], LinkCondition] = {}  # between hosts, by name
+        self.link_conditions: dict[
+            tuple[str, str], LinkCondition
+        ] = {}  # keyed by the names of sender and receiver
         self._last_port = 40_000
 
     def create_host(self, name: str, address: str = "127.0.0.1") -> SimulatedHost:
-        """Create what a new process sees."""
+        """Create the host of a new process."""
         return SimulatedHost(self, name, address)
 
     def schedule(self, host: SimulatedHost, delay_us: int, action: Callable[[], None]) -> SimulatedTimer:
-        """Schedule an action of a host, which is done if the host lives then."""
+        """Schedule an action of a host; it is skipped if the host is dead by then."""
         timer = SimulatedTimer(host, self.now_us + max(0, delay_us), action)
         self._push(timer)
         return timer
@@ -98,9 +106,10 @@
         heapq.heappush(self._queue, (timer.due_us, self._sequence, timer))
 
     def run_until(self, is_done: Callable[[], bool], end_us: int) -> bool:
-        """Let time pass until ``is_done`` says so; false if ``end_us`` comes before, or nothing is left.
+        """Run events until ``is_done`` returns true.
 
-        Raises ``RuntimeError`` if a host schedules events without end.
+        Returns false if ``end_us`` is reached or no event is left before that. Raises ``RuntimeError`` if
+        more than ``MAX_EVENTS_PER_SECOND`` events run in a simulated second.
         """
         while self._queue and not is_done():
             if self._queue[0][0] > end_us:
@@ -117,9 +126,11 @@
             if self.now_us >= self._window_start_us + SECOND_US:
                 self._window_start_us, self._events_in_window = self.now_us, 0
             self._events_in_window += 1
-            # Danger: a program that sets one timer after another would keep a run from ever ending.
+            # A program that keeps scheduling timers without delay would prevent the run from ending.
             if self._events_in_window > MAX_EVENTS_PER_SECOND:
-                raise RuntimeError(f"{timer.host.name} spins: too many events in a simulated second")
+                raise RuntimeError(
+                    f"too many events in a simulated second, the last of host {timer.host.name}"
+                )
             timer.fire()
         if is_done():
             return True
@@ -127,17 +138,17 @@
         return False
 
     def allocate_port(self) -> int:
-        """A port that nobody has yet."""
+        """Return an unused port."""
         self._last_port += 1
         return self._last_port
 
     def link_condition(self, sender: SimulatedHost, receiver: SimulatedHost) -> LinkCondition:
-        """The condition of the link from one host to another."""
+        """Return the condition of the link from one host to another."""
         return self.link_conditions.get((sender.name, receiver.name), UNIMPAIRED)
 
 
 class SimulatedHost:
-    """One process: a reactor for the program, with the parts of it that the program uses."""
+    """The host of one process: implements the parts of the reactor interfaces that the service uses."""
 
     def __init__(self, simulator: NetworkSimulator, name: str, address: str) -> None:
         self.simulator, self.name, self.address = simulator, name, address
@@ -151,29 +162,29 @@
     # the clock
 
     def seconds(self) -> float:
-        """The present time."""
+        """Return the current time in seconds."""
         return self.simulator.now_us / SECOND_US
 
     def callLater(
         self, delay: float, callable: Callable[..., Any], *args: Any, **more: Any
     ) -> SimulatedTimer:
-        """Call a function after so many seconds."""
+        """Call a function after ``delay`` seconds."""
         return self.simulator.schedule(self, round(delay * SECOND_US), lambda: callable(*args, **more))
 
     # the network
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> SimulatedListener:
-        """Listen at a port, or at one of its choice for 0. Raises ``CannotListenError``."""
+        """Listen on a port; 0 selects an unused one. Raises ``CannotListenError``."""
         return self._listen((interface or "127.0.0.1", port or self.simulator.allocate_port()), factory)
 
     def listenUNIX(self, address: str, factory: Any) -> SimulatedListener:
-        """Listen at a Unix socket. Raises ``CannotListenError``."""
+        """Listen on a Unix socket. Raises ``CannotListenError``."""
         return self._listen(address, factory)
 
     def listenUDP(
         self, port: int, protocol: Any, interface: str = "", maxPacketSize: int = 8192
     ) -> SimulatedUdpSocket:
-        """Receive datagrams at a port, or at one of its choice for 0. Raises ``CannotListenError``."""
+        """Receive datagrams on a port; 0 selects an unused one. Raises ``CannotListenError``."""
         address = (interface or "127.0.0.1", port or self.simulator.allocate_port())
         if address in self.simulator.udp_sockets:
             raise CannotListenError(*address, OSError("in use"))  # type: ignore[no-untyped-call]
@@ -204,7 +215,7 @@
     # faults of a process
 
     def kill(self) -> None:
-        """End the process: its peers see a reset, and nothing of it runs any more."""
+        """End the process: reset its connections and drop its pending calls."""
         for listener in list(self.listeners):
             listener.close()
         for socket in list(self.udp_sockets):
@@ -216,10 +227,10 @@
         self.transports.clear()
 
     def pause(self, duration_us: int) -> None:
-        """Give the process no CPU for a while: what happens meanwhile it sees late."""
+        """Suspend the process; events that are due meanwhile run after the pause."""
         self.paused_until_us = max(self.paused_until_us, self.simulator.now_us + duration_us)
 
     def next_transport_number(self) -> int:
-        """Number a new transport of the process."""
+        """Return the number of the next transport of this host."""
         self._transport_count += 1
         return self._transport_count
--- a/honeybarrow/lab/simulated_sockets.py
+++ b/honeybarrow/lab/simulated_sockets.py
@@ -1,7 +1,7 @@
-"""Sockets of the simulated network: datagrams, listeners, connects and connections.
+"""Sockets of the simulated network: UDP sockets, listeners, connectors and stream transports.
 
-A connection keeps the order of its bytes; they arrive late by the link's delay and in pieces, and it can be
-reset, paused, or cut without either side learning of it.
+A stream transport preserves the order of bytes, delays them and splits them into pieces. It can be reset,
+paused, or blackholed, in which case neither side is notified.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class SimulatedUdpSocket:
-    """A socket for datagrams: each arrives whole or not at all, in any order."""
+    """A UDP socket; datagrams may be lost, duplicated or reordered."""
 
     def __init__(
         self, host: SimulatedHost, address: tuple[str, int], protocol: Any, max_datagram_bytes: int
@@ -35,27 +35,27 @@
         )
 
     def getHost(self) -> Any:
-        """The address of the socket."""
+        """Return the address of the socket."""
         return IPv4Address("UDP", *self.address)
 
     def write(self, data: bytes, addr: tuple[str, int]) -> None:
         """Send a datagram, which the link may lose, delay or duplicate."""
-        world = self.host.simulator
-        receiver = world.udp_sockets.get(addr)
+        simulator = self.host.simulator
+        receiver = simulator.udp_sockets.get(addr)
         if receiver is None:
-            return  # the sender does not learn of it: the receiver may be on another machine
-        condition, rng = world.link_condition(self.host, receiver.host), world.rng
+            return  # as in UDP, the sender is not notified
+        condition, rng = simulator.link_condition(self.host, receiver.host), simulator.rng
         for _ in range(2 if condition.duplication_rate and rng.random() < condition.duplication_rate else 1):
             if condition.is_cut or (condition.loss_rate and rng.random() < condition.loss_rate):
                 continue
-            delay_us = world.link.delay_us + rng.randrange(world.link.jitter_us + 1)
+            delay_us = simulator.link.delay_us + rng.randrange(simulator.link.jitter_us + 1)
             delay_us += condition.delay_us + (
                 rng.randrange(condition.jitter_us + 1) if condition.jitter_us else 0
             )
-            world.schedule(receiver.host, delay_us, lambda: receiver.deliver(data, self.address))
+            simulator.schedule(receiver.host, delay_us, lambda: receiver.deliver(data, self.address))
 
     def deliver(self, data: bytes, sender: tuple[str, int]) -> None:
-        """Give a datagram that arrives to the protocol, if the socket is still open."""
+        """Pass an arriving datagram to the protocol if the socket is still open."""
         if self.host.simulator.udp_sockets.get(self.address) is self:
             self.protocol.datagramReceived(data[: self.max_datagram_bytes], sender)
 
@@ -67,14 +67,14 @@
 
 
 class SimulatedListener:
-    """A listening port. ``is_unresponsive``: connects get no answer, as with a full backlog."""
+    """A listening port. If ``is_unresponsive``, connects time out as with a full backlog."""
 
     def __init__(self, host: SimulatedHost, address: NetworkAddress, factory: Any) -> None:
         self.host, self.address, self.factory = host, address, factory
         self.is_unresponsive = False
 
     def getHost(self) -> Any:
-        """The address that is listened at."""
+        """Return the listening address."""
         return make_twisted_address(self.address)
 
     def stopListening(self) -> None:
@@ -82,23 +82,23 @@
         self.close()
 
     def close(self) -> None:
-        """Stop listening; connects are refused from now on."""
+        """Stop listening; later connects are refused."""
         if self.host.simulator.listeners.get(self.address) is self:
             del self.host.simulator.listeners[self.address]
             self.host.listeners.remove(self)
 
 
 class SimulatedConnector:
-    """A connection attempt, as ``IConnector`` has it."""
+    """A connection attempt with the parts of ``IConnector`` that the service uses."""
 
     def __init__(self, host: SimulatedHost, address: NetworkAddress, factory: Any, timeout_s: float) -> None:
         self.host, self.address, self.factory = host, address, factory
-        world = host.simulator
+        simulator = host.simulator
         self.state = "connecting"
-        self._timer = world.schedule(
+        self._timer = simulator.schedule(
             host, round(timeout_s * SECOND_US), lambda: self._fail_connect(make_timeout_error())
         )
-        world.schedule(host, self._draw_delay_us(), self._reach_listener)
+        simulator.schedule(host, self._draw_delay_us(), self._reach_listener)
 
     def _draw_delay_us(self) -> int:
         link = self.host.simulator.link
@@ -113,18 +113,23 @@
         self.factory.clientConnectionFailed(self, make_failure(error))
 
     def _reach_listener(self) -> None:
-        world = self.host.simulator
-        listener = world.listeners.get(self.address)
+        simulator = self.host.simulator
+        listener = simulator.listeners.get(self.address)
         if listener is None:
-            world.schedule(self.host, self._draw_delay_us(), lambda: self._fail_connect(make_refused_error()))
+            simulator.schedule(
+                self.host, self._draw_delay_us(), lambda: self._fail_connect(make_refused_error())
+            )
         elif (
             not listener.is_unresponsive and not listener.host.is_dead and not self._is_cut_off(listener.host)
         ):
-            world.schedule(self.host, self._draw_delay_us(), lambda: self._establish(listener))
+            simulator.schedule(self.host, self._draw_delay_us(), lambda: self._establish(listener))
 
     def _is_cut_off(self, other: SimulatedHost) -> bool:
-        world = self.host.simulator
-        return world.link_condition(self.host, other).is_cut or world.link_condition(other, self.host).is_cut
+        simulator = self.host.simulator
+        return (
+            simulator.link_condition(self.host, other).is_cut
+            or simulator.link_condition(other, self.host).is_cut
+        )
 
     def _establish(self, listener: SimulatedListener) -> None:
         if self.state != "connecting":
@@ -132,22 +137,24 @@
         self.state = "connected"
         if self._timer.active():
             self._timer.cancel()
-        world = self.host.simulator
-        own = (self.host.address, world.allocate_port())
-        near = SimulatedTransport(self.host, own, self.address)
-        far = SimulatedTransport(listener.host, self.address, own)
-        near.peer, far.peer = far, near
-        near.connector = self
-        world.schedule(
+        simulator = self.host.simulator
+        local_address = (self.host.address, simulator.allocate_port())
+        local = SimulatedTransport(self.host, local_address, self.address)
+        remote = SimulatedTransport(listener.host, self.address, local_address)
+        local.peer, remote.peer = remote, local
+        local.connector = self
+        simulator.schedule(
             listener.host,
             self._draw_delay_us(),
-            lambda: far.start_protocol(listener.factory.buildProtocol(make_twisted_address(own))),
+            lambda: remote.start_protocol(
+                listener.factory.buildProtocol(make_twisted_address(local_address))
+            ),
         )
-        near.start_protocol(self.factory.buildProtocol(make_twisted_address(self.address)))
+        local.start_protocol(self.factory.buildProtocol(make_twisted_address(self.address)))
 
 
 class SimulatedTransport:
-    """One side of a connection, as ``ITransport`` has it as far as the program uses it."""
+    """One side of a stream connection, with the parts of ``ITransport`` that the service uses."""
 
     def __init__(
         self, host: SimulatedHost, local_address: NetworkAddress, remote_address: NetworkAddress
@@ -158,20 +165,18 @@
         self.connector: SimulatedConnector | None = None
         self.disconnecting = False
         self.is_closed = False
-        self.is_blackholed = (
-            False  # nothing that is sent here arrives any more, and neither side learns of it
-        )
+        self.is_blackholed = False  # later writes are lost, and neither side is notified
         self.sent_bytes = 0
-        self.reset_after_bytes: int | None = None  # bytes written, after which the connection is reset
-        self._last_arrival_us = 0  # when the last byte that was sent arrives
-        # what arrived before the protocol was there, or while it was paused
+        self.reset_after_bytes: int | None = None  # resets the connection after this many written bytes
+        self._last_arrival_us = 0  # arrival time of the last byte sent
+        # Deliveries that arrived before the protocol was connected or while it was paused.
         self._pending: deque[Callable[[], None]] = deque()
         self._is_paused = False
         self._number = host.next_transport_number()
         host.transports[self._number] = self
 
     def start_protocol(self, protocol: Any) -> None:
-        """Connect the protocol: the connection is up on this side."""
+        """Connect the protocol and deliver what has arrived; abort the connection if it is None."""
         if self.is_closed:
             return
         if protocol is None:
@@ -184,7 +189,7 @@
     # ITransport
 
     def write(self, data: bytes) -> None:
-        """Send bytes, in pieces as the link splits them."""
+        """Send bytes; the link may split them into pieces."""
         if self.is_closed or self.disconnecting or not data:
             return
         self.sent_bytes += len(data)
@@ -203,11 +208,11 @@
             self._close(twisted_errors.ConnectionLost())
 
     def writeSequence(self, parts: Any) -> None:
-        """Send the parts as one."""
+        """Send the concatenated parts."""
         self.write(b"".join(parts))
 
     def loseConnection(self, _: Any = None) -> None:
-        """Close the connection after what was written."""
+        """Close the connection after sending all written bytes."""
         if self.is_closed or self.disconnecting:
             return
         self.disconnecting = True
@@ -223,41 +228,41 @@
         self.host.simulator.schedule(self.host, 0, lambda: self._close(twisted_errors.ConnectionAborted()))
 
     def pauseProducing(self) -> None:
-        """Deliver nothing until resumed."""
+        """Hold back deliveries to the protocol until :meth:`resumeProducing`."""
         self._is_paused = True
 
     def resumeProducing(self) -> None:
-        """Deliver what arrived meanwhile, and go on."""
+        """Deliver held-back data and resume delivery."""
         self._is_paused = False
         self.host.simulator.schedule(self.host, 0, self._deliver_pending)
 
     def setTcpNoDelay(self, _: Any) -> None:
-        """Do nothing: the network doesn't simulate Nagle's algorithm."""
+        """Do nothing; the network does not simulate Nagle's algorithm."""
 
     def setTcpKeepAlive(self, _: Any) -> None:
-        """Do nothing: the network doesn't simulate keep-alive probes."""
+        """Do nothing; the network does not simulate keep-alive probes."""
 
     def getPeer(self) -> Any:
-        """The address of the other side."""
+        """Return the address of the other side."""
         return make_twisted_address(self.remote_address)
 
     def getHost(self) -> Any:
-        """The address of this side."""
+        """Return the address of this side."""
         return make_twisted_address(self.local_address)
 
-    # what the network does
+    # events of the network
 
     def send_reset(self) -> None:
-        """Let the other side see a reset, after what was sent."""
+        """Reset the other side after it has received what was sent."""
         self._deliver_later(0, lambda: self._peer().handle_peer_close(twisted_errors.ConnectionLost()))
 
     def receive(self, data: bytes) -> None:
-        """Take a piece that arrives."""
+        """Queue an arriving piece for the protocol."""
         self._pending.append(lambda: self.protocol.dataReceived(data))
         self._deliver_pending()
 
     def handle_peer_close(self, error: Exception) -> None:
-        """Close this side once all that arrived before is delivered: the other side closed or is gone."""
+        """Close this side, with ``error`` as reason, after delivering what has arrived."""
         self._is_paused = False
         self._pending.append(lambda: self._close(error))
         self._deliver_pending()
@@ -269,22 +274,22 @@
     def _deliver_later(self, size_bytes: int, deliver: Callable[[], None]) -> None:
         if self.is_blackholed or self.peer is None:
             return
-        world = self.host.simulator
-        link, condition = world.link, world.link_condition(self.host, self.peer.host)
+        simulator = self.host.simulator
+        link, condition = simulator.link, simulator.link_condition(self.host, self.peer.host)
         if condition.is_cut:
-            self.is_blackholed = True  # what is lost leaves a gap, and nothing after it can be delivered
+            self.is_blackholed = True  # a stream cannot continue after a gap
             return
         delay_us = (
             link.delay_us
-            + world.rng.randrange(link.jitter_us + 1)
+            + simulator.rng.randrange(link.jitter_us + 1)
             + int(size_bytes / link.bytes_per_s * SECOND_US)
         )
         delay_us += condition.delay_us + (
-            world.rng.randrange(condition.jitter_us + 1) if condition.jitter_us else 0
+            simulator.rng.randrange(condition.jitter_us + 1) if condition.jitter_us else 0
         )
-        # Danger: jitter must not let a later piece overtake an earlier one: a stream keeps its order.
-        self._last_arrival_us = max(self._last_arrival_us + (size_bytes > 0), world.now_us + delay_us)
-        world.schedule(self.peer.host, self._last_arrival_us - world.now_us, deliver)
+        # Jitter must not reorder the pieces of a stream.
+        self._last_arrival_us = max(self._last_arrival_us + (size_bytes > 0), simulator.now_us + delay_us)
+        simulator.schedule(self.peer.host, self._last_arrival_us - simulator.now_us, deliver)
 
     def _deliver_pending(self) -> None:
         while self._pending and self.protocol is not None and not self._is_paused and not self.is_closed:
@@ -304,22 +309,22 @@
 
 
 def make_twisted_address(address: NetworkAddress) -> Any:
-    """Make Twisted's object for an address."""
+    """Return the Twisted address object for an address."""
     if isinstance(address, str):
         return UNIXAddress(address)
     return IPv4Address("TCP", address[0], address[1])
 
 
 def make_failure(error: Exception) -> Failure:
-    """Make Twisted's object for an error."""
+    """Return a Twisted ``Failure`` for an error."""
     return Failure(error)  # type: ignore[no-untyped-call]
 
 
 def make_timeout_error() -> Exception:
-    """Make the error of a connect that got no answer."""
+    """Return the error of a connect that timed out."""
     return twisted_errors.TimeoutError()  # type: ignore[no-untyped-call]
 
 
 def make_refused_error() -> Exception:
-    """Make the error of a connect that was refused."""
+    """Return the error of a refused connect."""
     return twisted_errors.ConnectionRefusedError()  # type: ignore[no-untyped-call]
--- a/honeybarrow/lab/simulation.py
+++ b/honeybarrow/lab/simulation.py
@@ -1,8 +1,8 @@
-"""Runs a scenario in simulated time: forwarders, stand-ins, register and clients in one process.
+"""Runs a scenario in simulated time, with forwarders, stand-ins, register and clients in one process.
 
-What a forwarder saves for its next start (the list of partners, the verdicts on zones) is kept for it. The
-trace has all that the sides read and wrote and all that the forwarders logged; equal hashes prove two runs
-equal.
+State that a forwarder saves for its next start (the partner list and zone verdicts) is kept in memory. The
+trace contains the event log of the stand-ins and clients and the log lines of the forwarders; two runs with
+the same trace hash are identical.
 """
 
 from __future__ import annotations
@@ -26,15 +26,16 @@
 from honeybarrow.service import Service, StateStorage
 
 DEFAULT_LINK = LinkConfig()
-MAX_TRACE_LINES = 20_000_000  # a run is bounded in time and rate; this stops one that is not
-CLEAN_UP_US = 120 * SECOND_US  # in which forwarders have to stop after a run
+MAX_TRACE_LINES = 20_000_000  # stops a run that logs without end
+CLEAN_UP_US = 120 * SECOND_US  # maximum time for stopping the forwarders after a run
 
 
 @dataclass(frozen=True, slots=True)
 class SimulationConfig:
-    """A scenario to run. ``keep_trace``: keep the lines of its trace, not their hash alone.
+    """A scenario with its forwarders and simulation parameters.
 
-    ``log_level`` is the level of the forwarders' log lines that the trace has: debug or info.
+    ``keep_trace`` keeps the lines of the trace in addition to their hash. ``log_level`` (``debug`` or
+    ``info``) selects the forwarders' log lines in the trace.
     """
 
     scenario: Scenario
@@ -44,7 +45,7 @@
     log_level: str = "debug"
 
     def with_seed(self, seed: int) -> SimulationConfig:
-        """The same scenario with another seed."""
+        """Return a copy of the configuration with another seed."""
         return replace(self, scenario=msgspec.structs.replace(self.scenario, seed=seed))
 
 
@@ -52,8 +53,8 @@
 class SimulationResult:
     """The result of a run.
 
-    ``utility`` is the share of the utility of all messages that was delivered, each class by its priority
-    weight. ``entries`` are those of the stand-ins' event log.
+    ``utility`` is the delivered share of the possible utility of all messages, weighted by the priority of
+    their class. ``entries`` is the event log of the run.
     """
 
     rule_check: RuleCheckResult
@@ -68,7 +69,7 @@
 
 
 class SimulationTrace:
-    """The log lines of all sides in one order, hashed as they come."""
+    """The event log entries and log lines of a run in one sequence, with their running hash."""
 
     def __init__(self, simulator: NetworkSimulator, keep_lines: bool) -> None:
         self.simulator, self.keep_lines = simulator, keep_lines
@@ -77,29 +78,29 @@
         self._hash = hashlib.sha256()
 
     def add(self, source: str, event: str, fields: dict[str, Any]) -> None:
-        """Add a line at the present time. Raises ``RuntimeError`` if the trace is full."""
+        """Add a line at the current time. Raises ``RuntimeError`` beyond ``MAX_TRACE_LINES``."""
         self.line_count += 1
         if self.line_count > MAX_TRACE_LINES:
-            raise RuntimeError("the trace is full")
+            raise RuntimeError("the trace exceeds its maximum number of lines")
         row = {"at": self.simulator.now_us, "who": source, "what": event, **fields}
         self._hash.update(json.dumps(row, sort_keys=True, default=str).encode())
         if self.keep_lines:
             self.lines.append(row)
 
     def digest(self) -> str:
-        """The hash of all lines so far."""
+        """Return the hash of all lines so far."""
         return self._hash.hexdigest()
 
 
 class TraceLogger:
-    """A forwarder's logger that writes to the trace."""
+    """A logger of one forwarder that writes to the trace."""
 
     def __init__(self, trace: SimulationTrace, source: str, level: str) -> None:
         self.trace, self.source = trace, source
         self.is_debug_enabled = level == "debug"
 
     def debug(self, event: str, **fields: Any) -> None:
-        """Log an event of level debug, if that level is on."""
+        """Log an event if the level is ``debug``."""
         if self.is_debug_enabled:
             self.trace.add(self.source, event, fields)
 
@@ -111,13 +112,13 @@
 
 
 class SimulatedForwarders:
-    """Launches forwarders as services on simulated hosts of their own."""
+    """Launches forwarders as services, each on a simulated host."""
 
     def __init__(self, config: SimulationConfig, simulator: NetworkSimulator, trace: SimulationTrace) -> None:
         self.config, self.simulator, self.trace = config, simulator, trace
         self.hosts: dict[str, SimulatedHost] = {}
         self.services: dict[str, Service] = {}
-        self.saved_lists: dict[str, bytes] = {}  # of partners, as on disk
+        self.saved_lists: dict[str, bytes] = {}  # saved partner lists, by forwarder
         self.saved_verdicts: dict[str, bytes] = {}
         self.start_counts: dict[str, int] = {}
         self.errors: list[Exception] = []
@@ -148,28 +149,28 @@
         return succeed(None)
 
     def kill(self, name: str) -> None:
-        """End a forwarder at once; what it saved is kept."""
+        """Kill a forwarder; its saved state is kept."""
         self.hosts[name].kill()
         self.services.pop(name, None)
 
     def delete_saved_state(self, name: str) -> None:
-        """Delete what a forwarder has saved."""
+        """Delete the saved state of a forwarder."""
         self.saved_lists.pop(name, None)
         self.saved_verdicts.pop(name, None)
 
     def pause(self, name: str, duration_us: int) -> None:
-        """Give a forwarder no CPU for so long."""
+        """Suspend a forwarder."""
         self.hosts[name].pause(duration_us)
 
     def set_link_condition(self, sender: str, receiver: str, condition: LinkCondition) -> None:
-        """Impair the link from one forwarder to another, or restore it."""
+        """Set the condition of the link from one forwarder to another; ``UNIMPAIRED`` restores it."""
         if condition == UNIMPAIRED:
             self.simulator.link_conditions.pop((sender, receiver), None)
         else:
             self.simulator.link_conditions[sender, receiver] = condition
 
     def stop_all(self) -> Deferred[None]:
-        """Stop all forwarders; fires when they have stopped."""
+        """Stop all forwarders; the result fires when they have stopped."""
         done: Deferred[None] = Deferred()
         stopping = DeferredList([service.stop() for service in self.services.values()])
         stopping.addCallback(lambda _: done.callback(None))
@@ -179,15 +180,16 @@
 def run_simulation(
     config: SimulationConfig, on_progress: Callable[[str], None] = lambda text: None
 ) -> SimulationResult:
-    """Run a scenario and check the rules.
+    """Run a scenario and check its rules.
 
-    Raises ``RuntimeError`` if a forwarder crashes or the run does not end.
+    :param on_progress: called with progress messages that start with the simulated time.
+    :raises RuntimeError: if a forwarder crashes, or the run fails or does not end.
     """
-    began_s = time.perf_counter()
+    started_s = time.perf_counter()
     scenario = config.scenario
     simulator = NetworkSimulator(scenario.seed, config.link)
     trace = SimulationTrace(simulator, config.keep_trace)
-    outside = simulator.create_host("outside")
+    scenario_host = simulator.create_host("outside")
     event_log = EventLog(
         lambda: simulator.now_us, on_entry=lambda entry: trace.add(entry.source, entry.kind, entry.fields)
     )
@@ -196,7 +198,7 @@
         scenario,
         list(config.forwarders),
         forwarders,
-        outside,
+        scenario_host,
         event_log,
         lambda text: on_progress(f"{(simulator.now_us - SECOND_US) / SECOND_US:8.3f} s  {text}"),
     )
@@ -208,17 +210,17 @@
     if forwarders.errors:
         raise RuntimeError(f"a forwarder crashed: {forwarders.errors[0]!r}") from forwarders.errors[0]
     if failures:
-        raise RuntimeError(f"the run failed: {failures[0].getErrorMessage()}")
+        raise RuntimeError(f"the scenario failed: {failures[0].getErrorMessage()}")
     if not has_ended:
-        raise RuntimeError("the run does not end")
-    priority_weights = {c.name: c.priority_weight for c in config.forwarders[0].classes}
+        raise RuntimeError("the run did not end within its duration, completion grace and clean-up time")
+    priority_weights = {each.name: each.priority_weight for each in config.forwarders[0].classes}
     return SimulationResult(
         results[0],
         compute_utility(results[0], priority_weights),
         trace.digest(),
         trace.line_count,
         (simulator.now_us - SECOND_US) / SECOND_US,
-        time.perf_counter() - began_s,
+        time.perf_counter() - started_s,
         simulator.event_count,
         trace.lines,
         event_log.entries,
@@ -226,7 +228,7 @@
 
 
 def compute_utility(result: RuleCheckResult, priority_weights: Mapping[str, float]) -> float:
-    """Compute the share of the utility of all messages that was delivered; 1 if there were none."""
+    """Return the delivered share of the possible utility of all messages; 1 if there are no messages."""
     rows = [(figures, priority_weights[name]) for name, figures in result.class_figures.items()]
     possible = sum(figures.messages * weight for figures, weight in rows)
     if not possible:
@@ -235,19 +237,22 @@
 
 
 def derive_seed(seed: int, name: str, start_count: int) -> int:
-    """Derive a forwarder's seed from that of the scenario, its name and how often it has started."""
+    """Derive the seed of a forwarder from the scenario seed, its name and its number of starts."""
     return int.from_bytes(hashlib.sha256(f"{seed}/{name}/{start_count}".encode()).digest()[:6], "big")
 
 
 def disable_external_services(settings: ForwarderConfig) -> ForwarderConfig:
-    """Settings without what needs the world outside: metrics over HTTP, tracing, files, TLS."""
+    """Return settings without HTTP metrics, tracing, account files and TLS, which need the real system."""
     return msgspec.structs.replace(
         settings, observability=type(settings.observability)(), tls=None, accounts_file="", seed=0
     )
 
 
 def bypass_relays(settings: ForwarderConfig, forwarders: Sequence[ForwarderConfig]) -> ForwarderConfig:
-    """Settings whose peers are reached without a relay: here links fail in the simulated network."""
+    """Return settings that address peers directly instead of through fault-injecting relays.
+
+    Link faults are simulated by the network instead.
+    """
     if settings.fleet is None:
         return settings
     listen_addresses = {each.name: each.fleet.listen for each in forwarders if each.fleet is not None}
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -142,7 +142,7 @@
         host.callLater(1e-6, call_again)
 
     call_again()
-    with pytest.raises(RuntimeError, match="spinner spins"):
+    with pytest.raises(RuntimeError, match="too many events in a simulated second, the last of host spinner"):
         simulator.run_until(lambda: False, 10 * SECOND)
 
 
