--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1,6 +1,7 @@
-"""A short rough scenario in one process, with a forwarder that keeps the rules or a mutant that violates one.
+"""Runs a short scenario with faults against the forwarder or a mutant of it that violates one rule.
 
-``python -m tests.mutants NAME`` prints the violated rules, one a line; ``none`` is the program as it is.
+``python -m tests.mutants NAME`` prints the violated rules, one per line, then ``rules checked``. The mutant
+``none`` is the unmodified forwarder.
 """
 
 from __future__ import annotations
@@ -74,7 +75,7 @@
 
 
 def patch_decision(owner: Any, name: str, make: Callable[[Any], Any]) -> None:
-    """Replace a function of the policy in its module and in each that has imported it by name."""
+    """Replace a policy function in its module and in each policy module that imports it by name."""
     old = getattr(owner, name)
     for module in (admission, backoff, endpoint_health, lifecycle, membership, rate_limit):
         if getattr(module, name, None) is old:
@@ -82,38 +83,40 @@
 
 
 def drop_rejections(old: Any) -> Any:
-    def answer(self: Any, held: Any, final: Any) -> None:
-        if not isinstance(final, delivery.Refused):
-            old(self, held, final)
+    def complete(self: Any, accepted: Any, outcome: Any) -> None:
+        if not isinstance(outcome, delivery.Refused):
+            old(self, accepted, outcome)
 
-    return answer
+    return complete
 
 
 def reject_failures(old: Any) -> Any:
-    def answer(self: Any, held: Any, final: Any) -> None:
-        old(self, held, delivery.Refused(0, "mutant") if isinstance(final, delivery.Failed) else final)
+    def complete(self: Any, accepted: Any, outcome: Any) -> None:
+        old(
+            self, accepted, delivery.Refused(0, "mutant") if isinstance(outcome, delivery.Failed) else outcome
+        )
 
-    return answer
+    return complete
 
 
 def reply_late(old: Any) -> Any:
-    def answer(self: Any, held: Any, final: Any) -> None:
-        delay = 0.0 if isinstance(final, delivery.Delivered) else 1.0
-        reactor.callLater(delay, old, self, held, final)
+    def complete(self: Any, accepted: Any, outcome: Any) -> None:
+        delay = 0.0 if isinstance(outcome, delivery.Delivered) else 1.0
+        reactor.callLater(delay, old, self, accepted, outcome)
 
-    return answer
+    return complete
 
 
 def send_after_reply(old: Any) -> Any:
-    def answer(self: Any, held: Any, final: Any) -> None:
-        old(self, held, final)
+    def complete(self: Any, accepted: Any, outcome: Any) -> None:
+        old(self, accepted, outcome)
         target = next(iter(self.sender.state.endpoints), None)
-        places = self.context.get_addresses(target) if target else []
-        if places:
-            payload, permit = held.submission.payload, FakePermit()
-            reactor.callLater(0.4, self.context.transport.call, target, places, payload, 1_000_000, permit)
+        addresses = self.context.get_addresses(target) if target else []
+        if addresses:
+            payload, permit = accepted.submission.payload, FakePermit()
+            reactor.callLater(0.4, self.context.transport.call, target, addresses, payload, 1_000_000, permit)
 
-    return answer
+    return complete
 
 
 def ignore_drains(old: Any) -> Any:
@@ -153,15 +156,15 @@
 
 
 def ignore_in_policy_and_guard(module: Any, name: str, change: Callable[[Any], Any]) -> None:
-    """Patch a decision, and let the guard pass what it would catch of it."""
+    """Patch a policy function and disable the guard, which would catch the wrong decisions."""
     patch_decision(module, name, change)
     disable_guard()
 
 
 def disable_guard() -> None:
-    """Let the guard answer yes always: it would refuse what a mutant of the policy does wrong."""
+    """Make the guard allow everything; otherwise it refuses the wrong decisions of a policy mutant."""
     for question in ("may_forward", "may_end", "may_acknowledge"):
-        patch(MessageGuard, question, lambda old: lambda self, *given: None)
+        patch(MessageGuard, question, lambda old: lambda self, *args: None)
 
 
 def skip_key_rest(old: Any) -> Any:
@@ -169,7 +172,7 @@
 
 
 def remove_overload_protection() -> None:
-    """No health, no rate limit, no rest."""
+    """Remove endpoint health, rate limits, rests, the slot limit and exponential backoff."""
     patch_decision(endpoint_health, "health_opens_us", lambda old: lambda state, endpoint: state.now)
     patch_decision(endpoint_health, "rest_until_us", lambda old: lambda state, scope, silent_us=0: state.now)
     patch_decision(endpoint_health, "eject", lambda old: lambda state, endpoint, reason: None)
@@ -186,7 +189,7 @@
     disable_guard()
 
 
-def reject_what_may_have_run() -> None:
+def reject_ambiguous_failures() -> None:
     patch(forwarder.Forwarder, "_complete", reject_failures)
     disable_guard()
 
@@ -197,21 +200,21 @@
     "replies come late": ("lost", lambda: patch(forwarder.Forwarder, "_complete", reply_late)),
     "sends after the reply": ("lost", lambda: patch(forwarder.Forwarder, "_complete", send_after_reply)),
     "resends non-idempotent messages": ("effect", resend_non_idempotent),
-    "takes every lost call for not run": (
+    "treats every lost call as not run": (
         "effect",
         lambda: ignore_in_policy_and_guard(lifecycle, "on_attempt_finished", ignore_ambiguity),
     ),
-    "rejects what may have run": ("effect", reject_what_may_have_run),
+    "rejects messages that may have run": ("effect", reject_ambiguous_failures),
     "ignores drains": (
         "drain",
         lambda: ignore_in_policy_and_guard(membership, "on_membership_update", ignore_drains),
     ),
-    "overloads who returns": ("fail-back", remove_overload_protection),
+    "overloads a recovering partner": ("fail-back", remove_overload_protection),
     "ignores order keys": (
         "order",
         lambda: ignore_in_policy_and_guard(lifecycle, "on_message_arrived", ignore_order_keys),
     ),
-    "does not let order keys rest": ("order", lambda: patch(Settings, "policy_settings", skip_key_rest)),
+    "skips the rest of order keys": ("order", lambda: patch(Settings, "policy_settings", skip_key_rest)),
     "ignores Retry-After": (
         "wait",
         lambda: ignore_in_policy_and_guard(lifecycle, "on_attempt_finished", ignore_retry_after),
@@ -220,7 +223,7 @@
 
 
 class InProcessLauncher:
-    """Launches the forwarder in this process."""
+    """Launches the forwarder as a service in this process."""
 
     def __init__(self) -> None:
         self.service: Service | None = None
@@ -244,13 +247,13 @@
     def pause(self, name: str, duration_us: int) -> None: ...
 
     def kill(self, name: str) -> None:
-        raise NotImplementedError("a process of its own is needed for that")
+        raise NotImplementedError("needs a forwarder process")
 
     def set_link_condition(self, sender: str, receiver: str, condition: LinkCondition) -> None:
-        raise NotImplementedError("one forwarder has no links")
+        raise NotImplementedError("a single forwarder has no links")
 
     def delete_saved_state(self, name: str) -> None:
-        raise NotImplementedError("a process of its own is needed for that")
+        raise NotImplementedError("needs a forwarder process")
 
     def stop_all(self) -> Deferred[None]:
         assert self.service is not None
@@ -259,24 +262,26 @@
 
 def main(name: str) -> None:
     MUTANTS[name][1]()
-    # under the ports that the system gives out, and other ones for each mutant: they run side by side
-    register = 27000 + 2 * list(MUTANTS).index(name)
-    records = config.evaluate_script("day.star", DAY % (register + 1, register, register), SCENARIO_WORDS)
-    scenario = next(value for value in records.values() if isinstance(value, Scenario))
+    # Below the ephemeral port range, and different for each mutant, because mutants run concurrently.
+    register_port = 27000 + 2 * list(MUTANTS).index(name)
+    records = config.evaluate_script(
+        "day.star", DAY % (register_port + 1, register_port, register_port), SCENARIO_WORDS
+    )
+    scenario = next(record for record in records.values() if isinstance(record, Scenario))
     settings = config.find_all(records, Settings)
     event_log = EventLog(lambda: time.monotonic_ns() // 1000)
     runner = ScenarioRunner(scenario, settings, InProcessLauncher(), reactor, event_log, lambda text: None)
 
-    def judged(result: RuleCheckResult) -> None:
+    def print_result(result: RuleCheckResult) -> None:
         print(format_report(result, name, scenario.seed), file=sys.stderr)
         for rule in result.violated_rules:
             print(rule)
-        print("judged")
+        print("rules checked")
 
     reactor.callWhenRunning(
         lambda: (
             runner.run()
-            .addCallbacks(judged, lambda failure: print(failure))
+            .addCallbacks(print_result, lambda failure: print(failure))
             .addBoth(lambda _: reactor.stop())
         )
     )
--- a/tests/test_consensus_cluster.py
+++ b/tests/test_consensus_cluster.py
@@ -1,4 +1,4 @@
-"""Consensus clusters, by drawn plans in simulated time: one order, nothing lost, all catch up."""
+"""Simulated consensus clusters under random faults, and faulty nodes that the checks must detect."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(("voters", "learners", "first"), [(3, 2, 0), (5, 2, 1000), (3, 12, 2000)])
-def test_drawn_plans_keep_what_the_log_promises(voters: int, learners: int, first: int) -> None:
+def test_random_faults_violate_no_guarantee_of_the_log(voters: int, learners: int, first: int) -> None:
     acknowledged = readmitted = 0
     for seed in range(first, first + 12):
         cluster = ConsensusCluster(draw_plan(seed, voters, learners), seed)
@@ -37,11 +37,11 @@
         assert find_violations(cluster) == [], f"seed {seed}"
         acknowledged += len(history.acknowledged)
         readmitted += history.readmitted
-    assert acknowledged > 300 and (readmitted or voters == 5), "runs in which nothing happens show nothing"
+    assert acknowledged > 300 and (readmitted or voters == 5), "the runs exercised too little"
 
 
-class LostDiskVotes(RaftNode):
-    """Mutant: whichever disk a voter votes on, and acknowledges entries on, it counts."""
+class AcceptsReplacedDisk(RaftNode):
+    """Mutant: counts votes and acknowledgments of a voter whose disk was replaced."""
 
     class AnyDiskState(NodeState):
         @property
@@ -51,9 +51,9 @@
     state_type = AnyDiskState
 
     def on_message(self, now_us: int, sender: str, message: Message, wall_clock_us: int = 0) -> list[Action]:
-        known = {voter.name: voter.disk_id for voter in self.voters}
-        if isinstance(message, RequestVoteReply | AppendEntriesReply) and sender in known:
-            identity = VoterIdentity(known[sender], 1 << INCARNATION_NONCE_BITS, 1)
+        disk_ids = {voter.name: voter.disk_id for voter in self.voters}
+        if isinstance(message, RequestVoteReply | AppendEntriesReply) and sender in disk_ids:
+            identity = VoterIdentity(disk_ids[sender], 1 << INCARNATION_NONCE_BITS, 1)
             if isinstance(message, RequestVoteReply):
                 message = RequestVoteReply(message.term, message.is_pre_vote, message.is_granted, identity)
             else:
@@ -63,55 +63,55 @@
         return super().on_message(now_us, sender, message, wall_clock_us)
 
 
-class OneIsEnough(RaftNode):
-    """Mutant: what a leader alone has persisted is committed."""
+class CommitsWithoutQuorum(RaftNode):
+    """Mutant: a leader commits entries that only its own disk holds."""
 
-    class LonelyReplication(LeaderReplication):
+    class QuorumlessReplication(LeaderReplication):
         def advance_commit_index(self) -> None:
             if self.state.outbox.persisted_index > self.state.commit_index:
                 self.state.commit_up_to(self.state.outbox.persisted_index)
 
-    leader_type = LonelyReplication
+    leader_type = QuorumlessReplication
 
 
 class VotesForOlderLog(RaftNode):
-    """Mutant: a candidate's log may be older."""
+    """Mutant: votes for candidates whose log is not up to date."""
 
-    class CarelessElection(Election):
+    class UncheckedElection(Election):
         def is_log_up_to_date(self, request: RequestVote) -> bool:
             return True
 
-    election_type = CarelessElection
+    election_type = UncheckedElection
 
 
-class HearsNobody(RaftNode):
-    """Mutant: a vote is granted though a leader is heard; there is no pre-vote."""
+class IgnoresCurrentLeader(RaftNode):
+    """Mutant: grants votes while it hears a leader, and starts elections without a pre-vote."""
 
-    class DeafElection(Election):
+    class DisruptiveElection(Election):
         def hears_leader(self, now_us: int) -> bool:
             return False
 
         def start_pre_vote(self, now_us: int) -> None:
             self.start_election(now_us)
 
-    election_type = DeafElection
+    election_type = DisruptiveElection
 
 
 @pytest.mark.parametrize(
-    ("node_type", "runs"), [(LostDiskVotes, 60), (OneIsEnough, 20), (VotesForOlderLog, 40)]
+    ("node_type", "runs"), [(AcceptsReplacedDisk, 60), (CommitsWithoutQuorum, 20), (VotesForOlderLog, 40)]
 )
-def test_each_guard_is_missed_in_some_run(node_type: type[RaftNode], runs: int) -> None:
+def test_each_mutant_violates_a_guarantee_in_some_run(node_type: type[RaftNode], runs: int) -> None:
     for seed in range(runs):
         cluster = ConsensusCluster(draw_plan(seed), seed, node_type)
         cluster.run()
         if find_violations(cluster):
             return
-    raise AssertionError(f"{node_type.__name__} holds in {runs} runs")
+    raise AssertionError(f"{node_type.__name__} violated nothing in {runs} runs")
 
 
-def test_who_was_cut_off_one_way_deposes_nobody_whom_the_others_hear() -> None:
+def test_voter_that_receives_nothing_does_not_depose_the_leader() -> None:
     def count_elections(node_type: type[RaftNode]) -> int:
-        """How often leaders change while one voter, who hears nobody, can send; until none of it is left."""
+        """Return the number of elections while one voter can send but receives nothing, and afterwards."""
         plan = ClusterPlan(loss_rate=0.0, learners=0, duration_us=12 * SECOND_US)
         cluster = ConsensusCluster(plan, 7, node_type)
         for other in ("v1", "v2"):
@@ -121,10 +121,10 @@
         return len(cluster.history.elected_us)
 
     assert count_elections(RaftNode) <= 2
-    assert count_elections(HearsNobody) > 4
+    assert count_elections(IgnoresCurrentLeader) > 4
 
 
-def test_a_leader_that_is_killed_is_replaced_within_a_second_and_a_half() -> None:
+def test_killed_leader_is_replaced_within_a_second_and_a_half() -> None:
     waits_us = []
     for seed in range(40):
         plan = ClusterPlan(learners=0, loss_rate=0.0, duration_us=6 * SECOND_US)
@@ -133,7 +133,7 @@
 
         def kill(cluster: ConsensusCluster = cluster, killed_us: list[int] = killed_us) -> None:
             members = enumerate(cluster.members.values())
-            leader = next(n for n, m in members if m.node.is_confirmed_leader(cluster.now_us))
+            leader = next(n for n, member in members if member.node.is_confirmed_leader(cluster.now_us))
             cluster.start_fault(Fault(FaultKind.KILL, cluster.now_us, 5 * SECOND_US, (leader,)))
             killed_us.append(cluster.now_us)
 
--- a/tests/test_golden_lab.py
+++ b/tests/test_golden_lab.py
@@ -1,7 +1,6 @@
-"""What a build before the change of names played, read and wrote: the same meaning, the same values.
+"""Simulated runs, scenario files and replication runs produce the values recorded in ``tests/golden``.
 
-The files under ``tests/golden`` that this reads are plain values, without a class's or a field's name of the
-program, except where such a name is a word of the users' (scenario files, logbooks).
+The golden files contain names only of scenario files and event logs, none of classes or fields in the code.
 """
 
 from __future__ import annotations
@@ -26,16 +25,16 @@
 
 GOLDEN = Path(__file__).parent / "golden"
 SCENARIOS = Path(rehearsal.__file__).parent / "scenarios"
-NAMES = ("addresses", "bad-day", "calm", "zone-lost")
+SCENARIO_NAMES = ("addresses", "bad-day", "calm", "zone-lost")
 SECOND = 1_000_000
-MESSAGES = {
+MESSAGE_LABELS = {
     AppendRecords: "append",
     AppendAck: "kept",
     RequestRejected: "refused",
     FenceRequest: "fence",
     FenceReply: "fenced",
 }
-FLEET_TROUBLES = """
+FLEET_FAULTS = """
     trouble("link_lossy", at = "1s", last = "8s", who = "a", size = 0.1),
     trouble("link_slow", at = "1s", last = "4s", who = "f2", size = 30.0),
     trouble("zone_down", at = "3s", last = "4s", who = "b", how = "hang"),
@@ -43,7 +42,7 @@
     trouble("link_one_way", at = "6s", last = "1s", who = "f3"),
     trouble("zone_cut", at = "8s", last = "1s", who = "c"),
 """
-ROUGH_TROUBLES = """,
+ROUGH_FAULTS = """,
     trouble("kill", at = "2s", last = "1s", who = "solo"),
     trouble("stall", at = "4s", last = "1s", who = "solo"),
     trouble("slow", at = "1s", last = "2s", who = "limit.example", size = 3.0),
@@ -59,59 +58,59 @@
 """
 
 
-def day_of(name: str, text: str) -> lab.SimulationConfig:
+def read_config(name: str, text: str) -> lab.SimulationConfig:
     records = config.evaluate_script(f"{name}.star", text, SCENARIO_WORDS)
     return lab.SimulationConfig(
         config.find_one(records, Scenario, Path(name)), tuple(config.find_all(records, ForwarderConfig))
     )
 
 
-def rough() -> lab.SimulationConfig:
+def make_rough_config() -> lab.SimulationConfig:
     head, tail = (mutants.DAY % (2525, 2600, 2600)).rsplit(")]\nday", 1)
-    return day_of("rough", f"{head}){ROUGH_TROUBLES}day{tail}")
+    return read_config("rough", f"{head}){ROUGH_FAULTS}day{tail}")
 
 
-def fleet() -> lab.SimulationConfig:
-    return day_of("fleet", fleet_days.make_script(20900, FLEET_TROUBLES, 10, forwarder_count=3, rate=30.0))
+def make_fleet_config() -> lab.SimulationConfig:
+    return read_config("fleet", fleet_days.make_script(20900, FLEET_FAULTS, 10, forwarder_count=3, rate=30.0))
 
 
-def shipped(name: str, length: int) -> lab.SimulationConfig:
-    day = day_of(name, (SCENARIOS / f"{name}.star").read_text(encoding="utf-8"))
-    return fault_search.with_scenario(day, duration_us=length)
+def shorten_scenario(name: str, duration_us: int) -> lab.SimulationConfig:
+    simulation = read_config(name, (SCENARIOS / f"{name}.star").read_text(encoding="utf-8"))
+    return fault_search.with_scenario(simulation, duration_us=duration_us)
 
 
-DAYS: dict[str, Callable[[], lab.SimulationConfig]] = {
-    "addresses": lambda: shipped("addresses", 8 * SECOND),
-    "bad-day": lambda: shipped("bad-day", 16 * SECOND),
-    "calm": lambda: shipped("calm", 6 * SECOND),
-    "fleet": fleet,
-    "rough": rough,
+SIMULATIONS: dict[str, Callable[[], lab.SimulationConfig]] = {
+    "addresses": lambda: shorten_scenario("addresses", 8 * SECOND),
+    "bad-day": lambda: shorten_scenario("bad-day", 16 * SECOND),
+    "calm": lambda: shorten_scenario("calm", 6 * SECOND),
+    "fleet": make_fleet_config,
+    "rough": make_rough_config,
 }
 
 
-def digest(value: Any) -> str:
+def hash_json(value: Any) -> str:
     return hashlib.sha256(json.dumps(value, sort_keys=True).encode()).hexdigest()
 
 
-def plain(value: Any) -> Any:
-    """A message between primary, replicas and successors, by position."""
+def to_json_values(value: Any) -> Any:
+    """Return a value with tuples as lists and bytes as text."""
     if isinstance(value, bytes):
         return value.decode("latin-1")
     if isinstance(value, tuple | list):
-        return [plain(each) for each in value]
+        return [to_json_values(each) for each in value]
     return value
 
 
-# --- what each golden file holds, as today's program has it
+# --- values that the golden files record
 
 
-def scenario(name: str) -> Any:
-    """A scenario file's records, by the names that the script gives them."""
+def read_scenario(name: str) -> Any:
+    """Return the records of a scenario file by their names in the script."""
     return msgspec.to_builtins(config.read_script(SCENARIOS / f"{name}.star", SCENARIO_WORDS))
 
 
-def words() -> Any:
-    """The words of scenario files: each with its fields in order, and what they are when left out."""
+def list_scenario_words() -> Any:
+    """Return the words of scenario files, each with its fields in order and their defaults."""
     found: dict[str, list[Any]] = {}
     for word, record in SCENARIO_WORDS.items():
         if word in config.WORDS:
@@ -123,57 +122,63 @@
     return found
 
 
-def played(name: str) -> Any:
-    """What the sockets of a day carried, and the verdict on it."""
-    day = DAYS[name]()
-    result = lab.run_simulation(day)
-    verdict = result.rule_check
+def record_simulation(name: str) -> Any:
+    """Return the event log and the rule check result of a simulated run."""
+    simulation = SIMULATIONS[name]()
+    result = lab.run_simulation(simulation)
+    rule_check = result.rule_check
     rows = [each.as_row() for each in result.entries]
     return {
-        "breaks": verdict.violations,
-        "counts": dict(verdict.counts),
-        "classes": {name: list(astuple(row)) for name, row in verdict.class_figures.items()},
-        "zones": [list(astuple(zone)) for zone in verdict.zone_outages],
+        "breaks": rule_check.violations,
+        "counts": dict(rule_check.counts),
+        "classes": {name: list(astuple(row)) for name, row in rule_check.class_figures.items()},
+        "zones": [list(astuple(zone)) for zone in rule_check.zone_outages],
         "worth": result.utility,
         "events": result.event_count,
         "simulated_s": result.simulated_s,
         "entries": len(rows),
         "first_entries": rows[:20],
-        "digest": digest(rows),
-        "report": rehearsal.format_report(verdict, name, day.scenario.seed).splitlines(),
+        "digest": hash_json(rows),
+        "report": rehearsal.format_report(rule_check, name, simulation.scenario.seed).splitlines(),
     }
 
 
-def drawn() -> Any:
-    """Drawn days as the scripts that the search writes."""
+def draw_fault_scripts() -> Any:
+    """Return scenarios with random faults, as the scripts that the search writes."""
     return {
-        str(seed): fault_search.format_script(fault_search.draw_faults(rough(), seed)).splitlines()
+        str(seed): fault_search.format_script(
+            fault_search.draw_faults(make_rough_config(), seed)
+        ).splitlines()
         for seed in (1, 5)
     }
 
 
-def copies() -> Any:
-    """Seeded runs of a primary, replicas and successors, and the choice of replicas."""
+def run_replication_models() -> Any:
+    """Return seeded runs of the replication model, and the placement of replicas and successors."""
     rows = {}
     for seed, shape in [(1, (3, 2)), (2, (5, 3)), (3, (4, 3)), (4, (2, 2)), (5, (3, 2)), (6, (5, 3))]:
         model = test_replication.ReplicationModel(seed, *shape)
         sent: list[Any] = []
 
-        def send(sender: str, sends: Any, send: Any = model.send, sent: list[Any] = sent) -> None:
+        def record_and_send(sender: str, sends: Any, send: Any = model.send, sent: list[Any] = sent) -> None:
             for each in sends:
                 message = each.message
-                sent.append([sender, each.recipient, MESSAGES[type(message)], plain(astuple(message))])
+                sent.append(
+                    [sender, each.recipient, MESSAGE_LABELS[type(message)], to_json_values(astuple(message))]
+                )
             send(sender, sends)
 
-        model.send = send  # type: ignore[method-assign]
+        model.send = record_and_send  # type: ignore[method-assign]
         for _ in range(400):
             model.step()
         rows[str(seed)] = {
             "messages": len(sent),
             "first_messages": sent[:12],
-            "digest": digest(sent),
-            "promised": {str(number): plain(record) for number, record in model.committed.items()},
-            "acted": [[term, [[n, plain(r)] for n, r in records.items()]] for term, records in model.acted],
+            "digest": hash_json(sent),
+            "promised": {str(number): to_json_values(record) for number, record in model.committed.items()},
+            "acted": [
+                [term, [[n, to_json_values(r)] for n, r in records.items()]] for term, records in model.acted
+            ],
             "state": model.primary.state.value,
             "short": model.primary.find_lagging_replicas(),
         }
@@ -187,28 +192,28 @@
     }
 
 
-FILES: dict[str, Callable[[], Any]] = {
-    **{f"scenarios/{name}.json": lambda name=name: scenario(name) for name in NAMES},  # type: ignore[misc]
-    "scenarios/words.json": words,
-    **{f"lab/day-{name}.json": lambda name=name: played(name) for name in DAYS},  # type: ignore[misc]
-    "lab/drawn.json": drawn,
-    "copies/plays.json": copies,
+GOLDEN_VALUES: dict[str, Callable[[], Any]] = {
+    **{f"scenarios/{name}.json": lambda name=name: read_scenario(name) for name in SCENARIO_NAMES},  # type: ignore[misc]
+    "scenarios/words.json": list_scenario_words,
+    **{f"lab/day-{name}.json": lambda name=name: record_simulation(name) for name in SIMULATIONS},  # type: ignore[misc]
+    "lab/drawn.json": draw_fault_scripts,
+    "copies/plays.json": run_replication_models,
 }
 
 
-def write() -> None:
-    """Write the golden files: done once, by the build before; not by the tests."""
-    for name, make in FILES.items():
+def write_golden_files() -> None:
+    """Write the golden files. Called by hand to record a reference, never by the tests."""
+    for name, make in GOLDEN_VALUES.items():
         (GOLDEN / name).parent.mkdir(parents=True, exist_ok=True)
         text = json.dumps(make(), indent=1, ensure_ascii=False)
         (GOLDEN / name).write_text(text + "\n", encoding="utf-8")
 
 
-def test_each_scenario_file_is_read() -> None:
-    assert sorted(path.stem for path in SCENARIOS.glob("*.star")) == sorted(NAMES)
+def test_every_scenario_file_is_covered() -> None:
+    assert sorted(path.stem for path in SCENARIOS.glob("*.star")) == sorted(SCENARIO_NAMES)
 
 
-@pytest.mark.parametrize("name", list(FILES))
-def test_the_same_values_as_the_build_before(name: str) -> None:
+@pytest.mark.parametrize("name", list(GOLDEN_VALUES))
+def test_values_equal_the_golden_file(name: str) -> None:
     golden = json.loads((GOLDEN / name).read_text(encoding="utf-8"))
-    assert json.loads(json.dumps(FILES[name]())) == golden
+    assert json.loads(json.dumps(GOLDEN_VALUES[name]())) == golden
--- a/tests/test_interleaving_explorer.py
+++ b/tests/test_interleaving_explorer.py
@@ -1,4 +1,4 @@
-"""All schedules of the threads that share a part: the part holds in each, and without any guard in none."""
+"""The log writer and signal delivery under all thread schedules, and writer mutants that must be detected."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 WATCHED_FILES = ("consensus/writer.py", "writer_mutants.py")
 
 
-class Disk:
-    """A writer over a disk in memory, and what was reported of it."""
+class WriterFixture:
+    """A writer on an in-memory disk, with a record of its reports."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
     ) -> None:
         self.items = items
         self.persisted: list[str] = []
-        self.reported: list[tuple[int, int]] = []  # what was reported, and what was there
+        self.reported: list[tuple[int, int]] = []  # reported count, and items persisted at that time
         self.stats: list[WriterStats] = []
         self.writes, self.fails_at, self.failures = 0, fails_at, 0
         self.writer = writer_type(self.write, self.report, self.fail, lock)
@@ -53,30 +53,32 @@
         self.failures += 1
 
     def submit_all(self) -> None:
-        """The reactor's thread."""
+        """Submit all items and close, as the reactor thread does."""
         for item in self.items:
             self.writer.submit(item)
         self.writer.close()
 
     def read_stats(self) -> None:
-        """A scrape, or an operator's question."""
+        """Read the stats, as a metrics scrape does."""
         self.stats.append(self.writer.get_stats())
 
 
-def find_violation(disk: Disk) -> str:
-    """What is wrong at the end."""
-    if disk.fails_at < 0 and (
-        "".join(disk.persisted) != disk.items or not disk.reported or disk.reported[-1][0] != len(disk.items)
+def find_violation(fixture: WriterFixture) -> str:
+    """Describe what is wrong after all threads have ended; empty if nothing is."""
+    if fixture.fails_at < 0 and (
+        "".join(fixture.persisted) != fixture.items
+        or not fixture.reported
+        or fixture.reported[-1][0] != len(fixture.items)
     ):
-        return f"persisted {disk.persisted}; reported {disk.reported}"
-    if "".join(disk.persisted) != disk.items[: len(disk.persisted)]:
-        return f"a gap: {disk.persisted}"
-    if disk.fails_at >= 0 and disk.writes >= disk.fails_at and disk.failures != 1:
-        return "the failure was not reported"
-    if any(count > there for count, there in disk.reported):
-        return f"reported before it was persisted: {disk.reported}"
-    if any(not 0 <= each.persisted <= each.submitted for each in disk.stats):
-        return f"stats of two moments: {disk.stats}"
+        return f"persisted {fixture.persisted}; reported {fixture.reported}"
+    if "".join(fixture.persisted) != fixture.items[: len(fixture.persisted)]:
+        return f"items missing or out of order: {fixture.persisted}"
+    if fixture.fails_at >= 0 and fixture.writes >= fixture.fails_at and fixture.failures != 1:
+        return "the write failure was not reported exactly once"
+    if any(count > persisted for count, persisted in fixture.reported):
+        return f"reported before it was persisted: {fixture.reported}"
+    if any(not 0 <= stats.persisted <= stats.submitted for stats in fixture.stats):
+        return f"inconsistent stats: {fixture.stats}"
     return ""
 
 
@@ -85,21 +87,27 @@
     fails_at: int = -1,
     items: str = "ab",
     readers: int = 0,
-) -> InterleavingExplorer[Disk]:
-    functions: list[Callable[[Disk], None]] = [lambda disk: disk.writer.run(), Disk.submit_all]
-    functions += [Disk.read_stats] * readers
+) -> InterleavingExplorer[WriterFixture]:
+    functions: list[Callable[[WriterFixture], None]] = [
+        lambda fixture: fixture.writer.run(),
+        WriterFixture.submit_all,
+    ]
+    functions += [WriterFixture.read_stats] * readers
     return InterleavingExplorer(
-        lambda lock: Disk(lock, writer_type, fails_at, items), functions, find_violation, WATCHED_FILES
+        lambda lock: WriterFixture(lock, writer_type, fails_at, items),
+        functions,
+        find_violation,
+        WATCHED_FILES,
     )
 
 
 @pytest.mark.parametrize(
     ("fails_at", "items", "readers"), [(-1, "ab", 0), (1, "ab", 0), (2, "ab", 0), (-1, "a", 1)]
 )
-def test_the_writer_holds_in_every_schedule(fails_at: int, items: str, readers: int) -> None:
+def test_writer_is_correct_in_every_schedule(fails_at: int, items: str, readers: int) -> None:
     result = create_explorer(WriterThread, fails_at, items, readers).explore_schedules()
     assert result.is_complete and not result.violation, result
-    assert result.schedules > 50, "too few to mean anything"
+    assert result.schedules > 50, "too few schedules were explored"
 
 
 @pytest.mark.parametrize(
@@ -113,33 +121,39 @@
         (ReadsStatsUnlocked, -1, "a", 1),
     ],
 )
-def test_each_guard_of_the_writer_is_missed(
+def test_each_writer_mutant_fails_in_some_schedule(
     writer_type: type[WriterThread[str]], fails_at: int, items: str, readers: int
 ) -> None:
     result = create_explorer(writer_type, fails_at, items, readers).explore_schedules()
-    assert result.violation, f"{writer_type.__name__} holds in {result.schedules} schedules"
+    assert result.violation, f"{writer_type.__name__} violated nothing in {result.schedules} schedules"
 
 
-class Caught:
-    """A process's signals: what was told of them."""
+class SignalReceiver:
+    """Records the signal requests that reach the handler."""
 
     def __init__(self) -> None:
         signals._pending.clear()
         signals._handler = signals._pending.append
-        self.told: list[str] = []
+        self.received: list[str] = []
 
-    def deliver(self) -> None:
-        signals.deliver_to(self.told.append)
+    def install_handler(self) -> None:
+        signals.deliver_to(self.received.append)
 
-    def catch(self) -> None:
+    def receive_sighup(self) -> None:
         signals._on_signal(signal.SIGHUP, None)
 
 
-def test_no_signal_is_lost_between_the_start_and_the_reactor(monkeypatch: Any) -> None:
+def test_signals_before_and_during_handler_installation_are_delivered(monkeypatch: Any) -> None:
     monkeypatch.setattr(signals, "_handler", signals._handler)
-    functions: list[Callable[[Caught], None]] = [Caught.deliver, Caught.catch, Caught.catch]
+    functions: list[Callable[[SignalReceiver], None]] = [
+        SignalReceiver.install_handler,
+        SignalReceiver.receive_sighup,
+        SignalReceiver.receive_sighup,
+    ]
     result = InterleavingExplorer(
-        lambda lock: Caught(), functions, lambda s: "" if s.told == ["reload"] * 2 else f"told {s.told}",
+        lambda lock: SignalReceiver(),
+        functions,
+        lambda receiver: "" if receiver.received == ["reload"] * 2 else f"received {receiver.received}",
         ("node/signals.py",),
-    ).explore_schedules()  # fmt: skip
+    ).explore_schedules()
     assert result.is_complete and not result.violation, result
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The laboratory: connections keep their order, a seed gives one run, a search finds planted faults."""
+"""Deterministic simulation: transports, reproducible runs, the fault search and the ``lab`` commands."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 from tests.fleet_days import make_script
 
 SECOND = 1_000_000
-CALM = Path(lab.__file__).parent.parent / "rehearsal" / "scenarios" / "calm.star"
+CALM_PATH = Path(lab.__file__).parent.parent / "rehearsal" / "scenarios" / "calm.star"
 
 
 def read_config(text: str) -> lab.SimulationConfig:
     records = config.evaluate_script("test.star", text, SCENARIO_WORDS)
     return lab.SimulationConfig(
-        config.find_one(records, Scenario, CALM), tuple(config.find_all(records, ForwarderConfig))
+        config.find_one(records, Scenario, CALM_PATH), tuple(config.find_all(records, ForwarderConfig))
     )
 
 
@@ -40,12 +40,12 @@
 
 
 class Connection(NamedTuple):
-    """Both sides of a connection, and their hosts."""
+    """The protocols of both sides of a connection, and their hosts."""
 
-    near: RecordingProtocol
-    far: RecordingProtocol
-    client: SimulatedHost
-    server: SimulatedHost
+    client_protocol: RecordingProtocol
+    server_protocol: RecordingProtocol
+    client_host: SimulatedHost
+    server_host: SimulatedHost
 
 
 class RecordingProtocol(Protocol):
@@ -75,66 +75,70 @@
 
 
 def connect(simulator: NetworkSimulator) -> Connection:
-    near, far = RecordingProtocol(), RecordingProtocol()
+    client_protocol, server_protocol = RecordingProtocol(), RecordingProtocol()
     client, server = simulator.create_host("client"), simulator.create_host("server")
-    server.listenTCP(25, make_factory(Factory, far))
-    client.connectTCP("127.0.0.1", 25, make_factory(ClientFactory, near))
-    simulator.run_until(lambda: far.transport is not None, 10 * SECOND)
-    return Connection(near, far, client, server)
+    server.listenTCP(25, make_factory(Factory, server_protocol))
+    client.connectTCP("127.0.0.1", 25, make_factory(ClientFactory, client_protocol))
+    simulator.run_until(lambda: server_protocol.transport is not None, 10 * SECOND)
+    return Connection(client_protocol, server_protocol, client, server)
 
 
 @given(st.lists(st.binary(min_size=1, max_size=300), max_size=20), st.integers(0, 50))
 def test_a_connection_carries_all_bytes_once_and_in_order(parts: list[bytes], seed: int) -> None:
     simulator = NetworkSimulator(seed, LinkConfig(split_probability=0.5, jitter_us=5_000, bytes_per_s=1e6))
-    near, far, client, _ = connect(simulator)
+    client_protocol, server_protocol, client, _ = connect(simulator)
     for part in parts:
-        near.transport.write(part)
+        client_protocol.transport.write(part)
         simulator.run_until(lambda: False, simulator.now_us + 100)
-    near.transport.loseConnection()
-    near.transport.write(b"too late")
+    client_protocol.transport.loseConnection()
+    client_protocol.transport.write(b"too late")
     simulator.run_until(lambda: False, simulator.now_us + 10 * SECOND)
-    assert far.data == b"".join(parts)
-    assert near.close_reasons == far.close_reasons == ["ConnectionDone"]
+    assert server_protocol.data == b"".join(parts)
+    assert client_protocol.close_reasons == server_protocol.close_reasons == ["ConnectionDone"]
     assert client.transports == {}
 
 
-def test_a_refused_connect_an_unresponsive_listener_and_a_reset() -> None:
+def test_connect_is_refused_or_times_out_and_connection_is_reset() -> None:
     simulator = NetworkSimulator(1)
-    near, far, client, server = connect(simulator)
+    client_protocol, server_protocol, client, server = connect(simulator)
     refused = make_factory(ClientFactory, RecordingProtocol())
     client.connectTCP("127.0.0.1", 99, refused)
     server.listeners[0].is_unresponsive = True
     unanswered = make_factory(ClientFactory, RecordingProtocol())
     client.connectTCP("127.0.0.1", 25, unanswered, timeout=2)
-    near.transport.reset_after_bytes = 5
-    near.transport.write(b"12345678")
+    client_protocol.transport.reset_after_bytes = 5
+    client_protocol.transport.write(b"12345678")
     simulator.run_until(lambda: False, simulator.now_us + 5 * SECOND)
     assert refused.failures == ["ConnectionRefusedError"] and unanswered.failures == ["TimeoutError"]
-    assert near.close_reasons == far.close_reasons == ["ConnectionLost"]
+    assert client_protocol.close_reasons == server_protocol.close_reasons == ["ConnectionLost"]
 
 
-def test_a_killed_process_runs_no_more_and_its_peers_see_a_reset() -> None:
+def test_killed_process_runs_no_calls_and_resets_its_connections() -> None:
     simulator = NetworkSimulator(1)
-    near, far, _, server = connect(simulator)
+    client_protocol, server_protocol, _, server = connect(simulator)
     called: list[int] = []
     server.callLater(1.0, called.append, 1)
     server.kill()
     simulator.run_until(lambda: False, simulator.now_us + 5 * SECOND)
-    assert near.close_reasons == ["ConnectionLost"] and far.close_reasons == [] and called == []
+    assert (
+        client_protocol.close_reasons == ["ConnectionLost"]
+        and server_protocol.close_reasons == []
+        and called == []
+    )
     assert simulator.listeners == {}
 
 
-def test_a_paused_process_sees_late_what_came_meanwhile() -> None:
+def test_paused_process_receives_data_after_the_pause() -> None:
     simulator = NetworkSimulator(1)
-    near, far, _, server = connect(simulator)
+    client_protocol, server_protocol, _, server = connect(simulator)
     server.pause(2 * SECOND)
-    near.transport.write(b"hello")
+    client_protocol.transport.write(b"hello")
     start = simulator.now_us
-    simulator.run_until(lambda: bool(far.data), 100 * SECOND)
-    assert simulator.now_us - start >= 2 * SECOND and far.data == b"hello"
+    simulator.run_until(lambda: bool(server_protocol.data), 100 * SECOND)
+    assert simulator.now_us - start >= 2 * SECOND and server_protocol.data == b"hello"
 
 
-def test_a_process_that_spins_ends_the_run() -> None:
+def test_endless_timers_of_a_process_end_the_run() -> None:
     simulator = NetworkSimulator(1)
     host = simulator.create_host("spinner")
 
@@ -146,19 +150,19 @@
         simulator.run_until(lambda: False, 10 * SECOND)
 
 
-def test_a_paused_transport_waits() -> None:
+def test_paused_transport_holds_data_back() -> None:
     simulator = NetworkSimulator(1)
-    near, far, _, _ = connect(simulator)
-    far.transport.pauseProducing()
-    near.transport.write(b"hello")
+    client_protocol, server_protocol, _, _ = connect(simulator)
+    server_protocol.transport.pauseProducing()
+    client_protocol.transport.write(b"hello")
     simulator.run_until(lambda: False, simulator.now_us + SECOND)
-    assert far.data == b""
-    far.transport.resumeProducing()
+    assert server_protocol.data == b""
+    server_protocol.transport.resumeProducing()
     simulator.run_until(lambda: False, simulator.now_us + SECOND)
-    assert far.data == b"hello"
+    assert server_protocol.data == b"hello"
 
 
-def test_a_seed_gives_one_run_in_every_process() -> None:
+def test_seed_determines_the_run_in_every_process() -> None:
     code = (
         "from tests.test_lab import rough_scenario; from honeybarrow import lab;"
         "print(lab.run_simulation(rough_scenario().with_seed(3)).trace_hash)"
@@ -178,57 +182,59 @@
     assert lab.run_simulation(rough_scenario().with_seed(4)).trace_hash != hashes[0].strip()
 
 
-def test_a_rough_scenario_keeps_the_rules_and_a_forwarder_restarts() -> None:
+def test_rules_hold_when_a_forwarder_is_killed_and_paused() -> None:
     scenario_config = rough_scenario()
     killed = Fault(kind="kill", start_us=2 * SECOND, duration_us=SECOND, target="solo")
     paused = Fault(kind="stall", start_us=4 * SECOND, duration_us=SECOND, target="solo")
-    more = (*scenario_config.scenario.faults, killed, paused)
-    result = lab.run_simulation(fault_search.with_scenario(scenario_config, faults=more))
+    faults = (*scenario_config.scenario.faults, killed, paused)
+    result = lab.run_simulation(fault_search.with_scenario(scenario_config, faults=faults))
     assert result.rule_check.has_passed and 0.5 < result.utility < 1.0
     assert result.simulated_s >= 6.0
 
 
-def test_drawn_faults_are_the_same_for_their_seed_and_their_script_runs_alike() -> None:
+def test_random_faults_depend_on_the_seed_and_survive_a_round_trip_through_a_script() -> None:
     scenario_config = fault_search.draw_faults(rough_scenario(), 5)
     assert scenario_config.scenario.faults == fault_search.draw_faults(rough_scenario(), 5).scenario.faults
-    again = read_config(fault_search.format_script(scenario_config))
-    assert again.scenario == scenario_config.scenario and again.forwarders == scenario_config.forwarders
-    assert lab.run_simulation(again).trace_hash == lab.run_simulation(scenario_config).trace_hash
+    reread = read_config(fault_search.format_script(scenario_config))
+    assert reread.scenario == scenario_config.scenario and reread.forwarders == scenario_config.forwarders
+    assert lab.run_simulation(reread).trace_hash == lab.run_simulation(scenario_config).trace_hash
 
 
-def test_the_search_finds_a_missing_guard_and_minimizes_the_run(
+def test_search_finds_a_faulty_policy_and_minimizes_the_run(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     from honeybarrow import sender_state
     from honeybarrow.policy import admission, backoff, lifecycle
 
-    plain = backoff.latest_start_us
+    latest_start_us = backoff.latest_start_us
 
-    def ignores_ambiguity(message: sender_state.Message, useful_us: int) -> int:  # retries what may have run
-        since, message.ambiguous_since_us = message.ambiguous_since_us, sender_state.NEVER
-        latest = plain(message, useful_us)
-        message.ambiguous_since_us = since
-        return latest
+    def ignore_ambiguity(message: sender_state.Message, useful_us: int) -> int:
+        """Allow retries of messages that may have run."""
+        ambiguous_since_us, message.ambiguous_since_us = message.ambiguous_since_us, sender_state.NEVER
+        start_us = latest_start_us(message, useful_us)
+        message.ambiguous_since_us = ambiguous_since_us
+        return start_us
 
     base = rough_scenario()
     assert not any(
-        each.violated_rules for each in fault_search.search_faults(base, range(1, 4), 1, lambda outcome: None)
+        outcome.violated_rules
+        for outcome in fault_search.search_faults(base, range(1, 4), 1, lambda outcome: None)
     )
     for module in (admission, backoff, lifecycle):
-        monkeypatch.setattr(module, "latest_start_us", ignores_ambiguity)
-    monkeypatch.setattr(MessageGuard, "_refuse_repeat", lambda *given: None)  # it would refuse the repeats
+        monkeypatch.setattr(module, "latest_start_us", ignore_ambiguity)
+    monkeypatch.setattr(MessageGuard, "_refuse_repeat", lambda *args: None)  # it would refuse the repeats
     found = fault_search.search_faults(base, range(1, 13), 1, lambda outcome: None)
     assert found[0].violated_rules == ("effect",)
-    small = fault_search.minimize(
+    minimized = fault_search.minimize(
         fault_search.draw_faults(base, found[0].seed),
         lambda scenario_config: fault_search.run_and_check(scenario_config).violated_rules == ("effect",),
         max_runs=25,
     )
-    assert len(small.scenario.faults) <= len(found[0].faults)
-    assert fault_search.run_and_check(small).violated_rules == ("effect",)
+    assert len(minimized.scenario.faults) <= len(found[0].faults)
+    assert fault_search.run_and_check(minimized).violated_rules == ("effect",)
 
 
-def test_an_error_of_the_program_is_the_worst_outcome(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_of_the_program_becomes_the_outcome(monkeypatch: pytest.MonkeyPatch) -> None:
     from honeybarrow.policy import lifecycle
 
     def crash(*_: Any) -> None:
@@ -238,10 +244,10 @@
     assert "planted" in fault_search.run_and_check(rough_scenario()).error
 
 
-def test_a_message_is_described_from_the_trace() -> None:
+def test_message_history_is_extracted_from_the_trace() -> None:
     result = lab.run_simulation(with_trace(rough_scenario()))
-    ident = next(row["message"] for row in result.trace if row["what"] == "ran")
-    lines = describe_message(result.trace, ident)
+    message_id = next(row["message"] for row in result.trace if row["what"] == "ran")
+    lines = describe_message(result.trace, message_id)
     text = "\n".join(lines)
     assert "ran" in text and "solo" in text and len(lines) >= 4
     assert describe_message(result.trace, "nothing") == []
@@ -253,7 +259,7 @@
     )
 
 
-def test_the_commands(tmp_path: Path) -> None:
+def test_lab_commands(tmp_path: Path) -> None:
     runner = CliRunner()
     ran = runner.invoke(main, ["lab", "run", "calm", "--quiet"])
     assert ran.exit_code == 0 and "all rules held" in ran.output
@@ -261,12 +267,12 @@
         main, ["lab", "search", "calm", "--days", "2", "--jobs", "1", "--keep", str(tmp_path)]
     )
     assert searched.exit_code == 0 and "2 days of" in searched.output
-    kept = next(tmp_path.glob("*.star"))
-    assert runner.invoke(main, ["lab", "run", str(kept), "--quiet"]).exit_code == 0
+    saved_scenario = next(tmp_path.glob("*.star"))
+    assert runner.invoke(main, ["lab", "run", str(saved_scenario), "--quiet"]).exit_code == 0
     assert runner.invoke(main, ["lab", "explain", "nothing", "calm"]).exit_code == 2
 
 
-def test_a_silent_partner_answers_nothing_not_even_a_message_that_it_has_accepted_before() -> None:
+def test_silent_partner_does_not_reply_to_repeated_messages_either() -> None:
     text = make_script(
         20900,
         'trouble("silent", at = "3s", last = "5s", who = "p1.example")',
@@ -276,10 +282,10 @@
     )
     records = config.evaluate_script("day.star", text, SCENARIO_WORDS)
     scenario_config = lab.SimulationConfig(
-        config.find_one(records, Scenario, CALM), tuple(config.find_all(records, ForwarderConfig))
+        config.find_one(records, Scenario, CALM_PATH), tuple(config.find_all(records, ForwarderConfig))
     )
     entries = [each for each in lab.run_simulation(scenario_config).entries if each.source == "p1.example"]
-    on, off = [each.at_us for each in entries if each.kind == "trouble"]
-    during = [each for each in entries if on + 100_000 < each.at_us < off]
-    assert [each for each in during if each.kind == "dropped"], "messages came again"
+    started_us, ended_us = [each.at_us for each in entries if each.kind == "trouble"]
+    during = [each for each in entries if started_us + 100_000 < each.at_us < ended_us]
+    assert [each for each in during if each.kind == "dropped"], "no message was repeated"
     assert not [each for each in during if each.kind == "replied" and each["final"]]
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -1,4 +1,4 @@
-"""The rule checker: it finds nothing against the program as it is, and the rule that each mutant violates."""
+"""The rule checker passes the unmodified forwarder and finds the rule that each mutant violates."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture(scope="module")
 def outputs() -> dict[str, tuple[str, str]]:
-    """What the rule checker finds of each mutant; all of them run at once, each in a process of its own."""
+    """Standard output and error of each mutant; all run concurrently, each in its own process."""
     running: dict[str, Any] = {
         name: subprocess.Popen(
             [sys.executable, "-m", "tests.mutants", name],
@@ -31,11 +31,11 @@
 
 
 @pytest.mark.parametrize("name", list(MUTANTS))
-def test_the_violated_rule_is_found(name: str, outputs: dict[str, tuple[str, str]]) -> None:
-    found, shown = outputs[name]
-    lines = found.split("\n")
-    assert "judged" in lines, shown
+def test_rule_checker_finds_the_violated_rule(name: str, outputs: dict[str, tuple[str, str]]) -> None:
+    output, report = outputs[name]
+    lines = output.split("\n")
+    assert "rules checked" in lines, report
     if rule := MUTANTS[name][0]:
-        assert rule in lines, shown
+        assert rule in lines, report
     else:
-        assert lines == ["judged", ""], shown
+        assert lines == ["rules checked", ""], report
