--- a/honeybarrow/lab/consensus_cluster.py
+++ b/honeybarrow/lab/consensus_cluster.py
@@ -88,7 +88,7 @@
     persistent_state: PersistentState
     disk_id: int = 1
     start_count: int = 1
-    process_number: int = 0
+    process_number: int = 0  # incremented when the process is killed, to drop its scheduled calls
     is_running: bool = True
     is_paused: bool = False
     delayed_calls: list[Callable[[], None]] = field(default_factory=list)
@@ -144,8 +144,8 @@
         voters = tuple(Voter(f"v{n}", 1) for n in range(plan.voters))
         self.members: dict[str, _Member] = {}
         for name in names:
-            first = LogEntry(1, VoterConfiguration("fleet", voters))
-            state = PersistentState(1, "", 1, Snapshot(), [first], 0)
+            first_entry = LogEntry(1, VoterConfiguration("fleet", voters))
+            state = PersistentState(1, "", 1, Snapshot(), [first_entry], 0)
             self.members[name] = member = _Member(name, self._create_node(name, 1, 1, state), state)
             self._perform_actions(member, member.node.start())
             self._schedule_timer(member)
@@ -299,6 +299,7 @@
     # proposals
 
     def _propose_random(self, end_us: int) -> None:
+        """Propose a command, sometimes repeated or through two members; repeat until ``end_us``."""
         self.history.proposed += 1
         number = self.history.proposed if self.rng.random() > 0.1 else self.rng.randint(1, 9)
         for _ in range(1 + (self.rng.random() < 0.1)):
@@ -329,7 +330,11 @@
         if self.now_us < end_us:
             self.schedule(self.now_us + SECOND_US // 3, lambda: self._readmit_voters(end_us))
         leader = next(
-            (m for m in self.members.values() if m.is_running and m.node.is_confirmed_leader(self.now_us)),
+            (
+                member
+                for member in self.members.values()
+                if member.is_running and member.node.is_confirmed_leader(self.now_us)
+            ),
             None,
         )
         if leader is None or leader.is_paused:
@@ -341,13 +346,13 @@
                 continue
             voter = Voter(name, member.disk_id)
             if name in voter_names and voter not in voters:
-                new = tuple(each for each in voters if each.name != name)
+                new_voters = tuple(each for each in voters if each.name != name)
             elif name not in voter_names and member.node.commit_index >= leader.node.commit_index:
-                new = (*voters, voter)
+                new_voters = (*voters, voter)
             else:
                 continue
             self.history.readmitted += name not in voter_names
-            self._propose_to(leader, VoterConfiguration(f"roll {self.now_us}", new))
+            self._propose_to(leader, VoterConfiguration(f"roll {self.now_us}", new_voters))
             return
 
     # faults
--- a/honeybarrow/lab/fault_search.py
+++ b/honeybarrow/lab/fault_search.py
@@ -22,7 +22,7 @@
 
 
 class TargetGroup(enum.Enum):
-    """Groups of targets of faults."""
+    """The group of objects that a kind of fault affects."""
 
     PARTNER = "partner"
     ENDPOINT = "endpoint"  # of a partner with several endpoints
--- a/honeybarrow/lab/gossip_cluster.py
+++ b/honeybarrow/lab/gossip_cluster.py
@@ -47,13 +47,13 @@
     status: AttemptStatus = AttemptStatus.TIMEOUT
     call_duration_us: int = 1_300_000
 
-    def affects(self, now_us: int, origin_zone: str, zone: str, partner: int) -> bool:
-        """Return whether this fault can affect a call from ``origin_zone`` to a partner in ``zone`` now."""
+    def affects(self, now_us: int, caller_zone: str, zone: str, partner: int) -> bool:
+        """Return whether this fault can affect a call from ``caller_zone`` to a partner in ``zone`` now."""
         is_active = self.start_us <= now_us < self.start_us + self.duration_us
-        is_from_caller = not self.caller_zone or origin_zone == self.caller_zone
-        is_inside = zone == self.zone or zone.startswith(self.zone + "/")
+        is_from_caller_zone = not self.caller_zone or caller_zone == self.caller_zone
+        is_in_zone = zone == self.zone or zone.startswith(self.zone + "/")
         is_to_partner = not self.partners or partner in self.partners
-        return is_active and is_from_caller and is_inside and is_to_partner
+        return is_active and is_from_caller_zone and is_in_zone and is_to_partner
 
 
 @dataclass(frozen=True, slots=True)
@@ -251,24 +251,24 @@
         calls = self.record.calls
         return [call for call in calls if call.zone == zone and since_us <= call.sent_us < until_us]
 
-    # members
+    # timers and actions of members
 
     def _is_running(self, member: ClusterMember) -> bool:
         return self.members.get(member.name) is member
 
     def _schedule_wake(
-        self, member: ClusterMember, part: Membership | ZoneCoordinator, carry_out: Callable[..., None]
+        self, member: ClusterMember, component: Membership | ZoneCoordinator, carry_out: Callable[..., None]
     ) -> None:
-        due_us = part.due_us
+        due_us = component.due_us
 
         def wake() -> None:
-            if not self._is_running(member) or part.due_us != due_us:
+            if not self._is_running(member) or component.due_us != due_us:
                 return
             if member.paused_until_us > self.now_us:
                 self.schedule(member.paused_until_us - self.now_us, wake)
                 return
-            carry_out(member, part.wake(self.now_us))
-            self._schedule_wake(member, part, carry_out)
+            carry_out(member, component.wake(self.now_us))
+            self._schedule_wake(member, component, carry_out)
 
         if due_us < NEVER_US:
             self.schedule(due_us - self.now_us, wake)
@@ -278,22 +278,24 @@
     ) -> None:
         for action in actions:
             match action:
-                case swim.SendMessage(to, message):
+                case swim.SendMessage(recipient, message):
                     self._count_bytes(member, message)
-                    self._send_membership_message(member, to, message)
+                    self._send_membership_message(member, recipient, message)
                 case swim.MemberChanged(update) if update.state is swim.MemberState.DEAD:
                     self.record.deaths.append(RecordedDeath(self.now_us, member.name, update.name))
                 case swim.PushPull(peer):
                     self._push_pull(member, peer)
 
-    def _send_membership_message(self, member: ClusterMember, to: str, message: swim.SwimMessage) -> None:
+    def _send_membership_message(
+        self, member: ClusterMember, recipient: str, message: swim.SwimMessage
+    ) -> None:
         def handle(receiver: ClusterMember) -> None:
             due_us = receiver.membership.due_us
             actions = receiver.membership.handle_message(self.now_us, member.name, message)
             self._carry_out_membership_actions(receiver, actions)
             self._reschedule_membership(receiver, due_us)
 
-        self._send(member, to, handle)
+        self._send(member, recipient, handle)
 
     def _reschedule_membership(self, member: ClusterMember, scheduled_us: int) -> None:
         if member.membership.due_us != scheduled_us:
@@ -302,18 +304,18 @@
     def _carry_out_zone_actions(self, member: ClusterMember, actions: Sequence[Action]) -> None:
         for action in actions:
             match action:
-                case SendMessage(to, message):
+                case SendMessage(recipient, message):
                     self._count_bytes(member, message)
-                    self._send_zone_message(member, to, message)
+                    self._send_zone_message(member, recipient, message)
                 case ZoneLogEvent():
                     self.record.log_events.append(RecordedLogEvent(self.now_us, member.name, action))
 
-    def _send_zone_message(self, member: ClusterMember, to: str, message: ZoneMessage) -> None:
+    def _send_zone_message(self, member: ClusterMember, recipient: str, message: ZoneMessage) -> None:
         def handle(receiver: ClusterMember) -> None:
             actions = receiver.zones.handle_message(self.now_us, member.name, message)
             self._carry_out_zone_actions(receiver, actions)
 
-        self._send(member, to, handle)
+        self._send(member, recipient, handle)
 
     # links
 
@@ -322,20 +324,20 @@
         datagram = wire.Datagram(wire.WIRE_VERSION, "fleet", member.name, incarnation, message)
         self.record.bytes_sent += len(wire.encode(datagram))
 
-    def _send(self, member: ClusterMember, to: str, handle: Callable[[ClusterMember], None]) -> None:
+    def _send(self, member: ClusterMember, recipient: str, handle: Callable[[ClusterMember], None]) -> None:
         self.record.datagrams_sent += 1
         for _ in range(2 if self.rng.random() < self.config.datagram_loss / 5 else 1):
             if self.rng.random() < self.config.datagram_loss:
                 continue
-            self.schedule(self._draw_delay_us(), lambda: self._deliver(member.name, to, handle))
+            self.schedule(self._draw_delay_us(), lambda: self._deliver(member.name, recipient, handle))
 
-    def _deliver(self, sender: str, to: str, handle: Callable[[ClusterMember], None]) -> None:
-        receiver = self.members.get(to)
-        if receiver is None or (sender, to) in self.blocked_links:
+    def _deliver(self, sender: str, recipient: str, handle: Callable[[ClusterMember], None]) -> None:
+        receiver = self.members.get(recipient)
+        if receiver is None or (sender, recipient) in self.blocked_links:
             return
         if receiver.paused_until_us > self.now_us:  # the datagram waits in the socket buffer
             delay_us = receiver.paused_until_us - self.now_us + 5_000
-            self.schedule(delay_us, lambda: self._deliver(sender, to, handle))
+            self.schedule(delay_us, lambda: self._deliver(sender, recipient, handle))
             return
         handle(receiver)
 
--- a/honeybarrow/lab/interleaving_explorer.py
+++ b/honeybarrow/lab/interleaving_explorer.py
@@ -50,7 +50,7 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self, exc_type: type[BaseException] | None, exc: BaseException | None, traceback: TracebackType | None
     ) -> None:
         thread = self.explorer.get_current_thread()
         if thread is not None and self.owner is thread:
@@ -81,8 +81,8 @@
     def __init__(self, explorer: InterleavingExplorer[Any], index: int, function: Callable[[], None]) -> None:
         self.explorer, self.index, self.function = explorer, index, function
         self.resume, self.paused = threading.Semaphore(0), threading.Semaphore(0)
-        self.wanted_lock: ExploredLock | None = None
-        self.awaited_lock: ExploredLock | None = None
+        self.wanted_lock: ExploredLock | None = None  # acquired when the thread is resumed
+        self.awaited_lock: ExploredLock | None = None  # set while the thread waits for its notification
         self.held_lock_count = 0
         self.is_finished = self.is_abandoned = False
         self.error: BaseException | None = None
@@ -182,19 +182,19 @@
     def explore_schedules(self, max_schedules: int = 100_000) -> ExplorationResult:
         """Run schedules until one has a violation, none is left, or ``max_schedules`` were run."""
         result, started_s = ExplorationResult(), time.monotonic()
-        open_prefixes: list[tuple[int, ...]] = [()]
-        while open_prefixes and result.schedules < max_schedules:
-            run = self._run_schedule(open_prefixes.pop(), open_prefixes)
+        unexplored_prefixes: list[tuple[int, ...]] = [()]
+        while unexplored_prefixes and result.schedules < max_schedules:
+            run = self._run_schedule(unexplored_prefixes.pop(), unexplored_prefixes)
             result.schedules += 1
             result.longest_schedule = max(result.longest_schedule, len(run.schedule))
             if run.violation:
                 result.violation, result.schedule = run.violation, run.schedule
                 break
-        result.is_complete = not open_prefixes and not result.violation
+        result.is_complete = not unexplored_prefixes and not result.violation
         result.duration_s = time.monotonic() - started_s
         return result
 
-    def _run_schedule(self, prefix: tuple[int, ...], open_prefixes: list[tuple[int, ...]]) -> _Run:
+    def _run_schedule(self, prefix: tuple[int, ...], unexplored_prefixes: list[tuple[int, ...]]) -> _Run:
         shared = self.create_shared(lambda: ExploredLock(self))
         functions = [functools.partial(function, shared) for function in self.thread_functions]
         self.threads = [_ControlledThread(self, index, function) for index, function in enumerate(functions)]
@@ -206,12 +206,12 @@
                 thread.run_to_next_pause()  # reaches its first pause, before any shared access
             while runnable := [thread for thread in self.threads if thread.can_run]:
                 if len(schedule) < len(prefix):
-                    chosen = self.threads[prefix[len(schedule)]]
+                    next_thread = self.threads[prefix[len(schedule)]]
                 else:
-                    chosen = runnable[0]
-                    open_prefixes += [(*schedule, other.index) for other in runnable[1:]]
-                schedule.append(chosen.index)
-                chosen.run_to_next_pause()
+                    next_thread = runnable[0]
+                    unexplored_prefixes += [(*schedule, other.index) for other in runnable[1:]]
+                schedule.append(next_thread.index)
+                next_thread.run_to_next_pause()
             return _Run(tuple(schedule), self._find_violation_at_end(shared))
         finally:
             self._end_threads()
--- a/honeybarrow/lab/message_history.py
+++ b/honeybarrow/lab/message_history.py
@@ -10,7 +10,9 @@
 
 
 def describe_message(trace: Sequence[dict[str, Any]], message: str) -> list[str]:
-    """Return the formatted trace lines of a message, with the lines about its endpoints in between.
+    """Return the formatted trace lines of a message.
+
+    Lines of the same period about its endpoints are included and marked with ``|``.
 
     :param message: the client's Message-ID or a forwarder's id; lines with either are included.
     """
--- a/honeybarrow/lab/simulated_network.py
+++ b/honeybarrow/lab/simulated_network.py
@@ -86,9 +86,7 @@
         self._sequence = 0
         self.listeners: dict[NetworkAddress, SimulatedListener] = {}
         self.udp_sockets: dict[NetworkAddress, SimulatedUdpSocket] = {}
-        self.link_conditions: dict[
-            tuple[str, str], LinkCondition
-        ] = {}  # keyed by the names of sender and receiver
+        self.link_conditions: dict[tuple[str, str], LinkCondition] = {}  # by sender and receiver
         self._last_port = 40_000
 
     def create_host(self, name: str, address: str = "127.0.0.1") -> SimulatedHost:
@@ -114,14 +112,14 @@
         while self._queue and not is_done():
             if self._queue[0][0] > end_us:
                 break
-            due, _, timer = heapq.heappop(self._queue)
+            due_us, _, timer = heapq.heappop(self._queue)
             if not timer.active() or timer.host.is_dead:
                 continue
-            if timer.host.paused_until_us > due:
+            if timer.host.paused_until_us > due_us:
                 timer.due_us = timer.host.paused_until_us
                 self._push(timer)
                 continue
-            self.now_us = max(self.now_us, due)
+            self.now_us = max(self.now_us, due_us)
             self.event_count += 1
             if self.now_us >= self._window_start_us + SECOND_US:
                 self._window_start_us, self._events_in_window = self.now_us, 0
@@ -166,10 +164,10 @@
         return self.simulator.now_us / SECOND_US
 
     def callLater(
-        self, delay: float, callable: Callable[..., Any], *args: Any, **more: Any
+        self, delay: float, callable: Callable[..., Any], *args: Any, **kwargs: Any
     ) -> SimulatedTimer:
         """Call a function after ``delay`` seconds."""
-        return self.simulator.schedule(self, round(delay * SECOND_US), lambda: callable(*args, **more))
+        return self.simulator.schedule(self, round(delay * SECOND_US), lambda: callable(*args, **kwargs))
 
     # the network
 
--- a/honeybarrow/lab/simulated_sockets.py
+++ b/honeybarrow/lab/simulated_sockets.py
@@ -193,15 +193,15 @@
         if self.is_closed or self.disconnecting or not data:
             return
         self.sent_bytes += len(data)
-        rest = memoryview(bytes(data))
+        remaining = memoryview(bytes(data))
         link, rng = self.host.simulator.link, self.host.simulator.rng
-        while rest:
+        while remaining:
             size = (
-                rng.randrange(1, len(rest))
-                if len(rest) > 1 and rng.random() < link.split_probability
-                else len(rest)
+                rng.randrange(1, len(remaining))
+                if len(remaining) > 1 and rng.random() < link.split_probability
+                else len(remaining)
             )
-            piece, rest = bytes(rest[:size]), rest[size:]
+            piece, remaining = bytes(remaining[:size]), remaining[size:]
             self._deliver_later(len(piece), lambda piece=piece: self._peer().receive(piece))  # type: ignore[misc]
         if self.reset_after_bytes is not None and self.sent_bytes >= self.reset_after_bytes:
             self.send_reset()
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -71,6 +71,7 @@
 
 
 def patch(owner: Any, name: str, make: Callable[[Any], Any]) -> None:
+    """Replace an attribute by the result of ``make`` for its old value."""
     setattr(owner, name, make(getattr(owner, name)))
 
 
@@ -155,7 +156,7 @@
     return on_attempt_finished
 
 
-def ignore_in_policy_and_guard(module: Any, name: str, change: Callable[[Any], Any]) -> None:
+def patch_decision_without_guard(module: Any, name: str, change: Callable[[Any], Any]) -> None:
     """Patch a policy function and disable the guard, which would catch the wrong decisions."""
     patch_decision(module, name, change)
     disable_guard()
@@ -163,8 +164,8 @@
 
 def disable_guard() -> None:
     """Make the guard allow everything; otherwise it refuses the wrong decisions of a policy mutant."""
-    for question in ("may_forward", "may_end", "may_acknowledge"):
-        patch(MessageGuard, question, lambda old: lambda self, *args: None)
+    for method in ("may_forward", "may_end", "may_acknowledge"):
+        patch(MessageGuard, method, lambda old: lambda self, *args: None)
 
 
 def skip_key_rest(old: Any) -> Any:
@@ -202,22 +203,22 @@
     "resends non-idempotent messages": ("effect", resend_non_idempotent),
     "treats every lost call as not run": (
         "effect",
-        lambda: ignore_in_policy_and_guard(lifecycle, "on_attempt_finished", ignore_ambiguity),
+        lambda: patch_decision_without_guard(lifecycle, "on_attempt_finished", ignore_ambiguity),
     ),
     "rejects messages that may have run": ("effect", reject_ambiguous_failures),
     "ignores drains": (
         "drain",
-        lambda: ignore_in_policy_and_guard(membership, "on_membership_update", ignore_drains),
+        lambda: patch_decision_without_guard(membership, "on_membership_update", ignore_drains),
     ),
     "overloads a recovering partner": ("fail-back", remove_overload_protection),
     "ignores order keys": (
         "order",
-        lambda: ignore_in_policy_and_guard(lifecycle, "on_message_arrived", ignore_order_keys),
+        lambda: patch_decision_without_guard(lifecycle, "on_message_arrived", ignore_order_keys),
     ),
     "skips the rest of order keys": ("order", lambda: patch(Settings, "policy_settings", skip_key_rest)),
     "ignores Retry-After": (
         "wait",
-        lambda: ignore_in_policy_and_guard(lifecycle, "on_attempt_finished", ignore_retry_after),
+        lambda: patch_decision_without_guard(lifecycle, "on_attempt_finished", ignore_retry_after),
     ),
 }
 
