--- a/honeybarrow/lab/fault_search.py
+++ b/honeybarrow/lab/fault_search.py
@@ -85,7 +85,7 @@
 
 
 def draw_faults(config: SimulationConfig, seed: int) -> SimulationConfig:
-    """Return the configuration with its faults replaced by random ones that depend on ``seed`` alone."""
+    """Return the configuration with its faults replaced by random ones determined by ``seed``."""
     scenario, rng = config.scenario, random.Random(f"draw/{seed}")
     targets = list_targets(config)
     kinds = [kind for kind, fault_range in FAULT_RANGES.items() if targets[fault_range.group]]
@@ -236,9 +236,11 @@
     """Format a value in the settings language; records omit fields that have their default."""
     if isinstance(value, msgspec.Struct):
         word = next(word for word, record in SCENARIO_WORDS.items() if record is type(value))
-        fields = msgspec.structs.fields(value)
-        given = [each for each in fields if getattr(value, each.name) != each.default]
-        parts = [f"{each.encode_name} = {_format_value(getattr(value, each.name))}" for each in given]
+        all_fields = msgspec.structs.fields(value)
+        changed_fields = [each for each in all_fields if getattr(value, each.name) != each.default]
+        parts = [
+            f"{each.encode_name} = {_format_value(getattr(value, each.name))}" for each in changed_fields
+        ]
         return f"{word}({', '.join(parts)})"
     if isinstance(value, tuple):
         return "[" + ", ".join(map(_format_value, value)) + "]"
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -83,6 +83,9 @@
             setattr(module, name, make(old))
 
 
+# The functions from here to `ignore_retry_after` take an original function and return a faulty one.
+
+
 def drop_rejections(old: Any) -> Any:
     def complete(self: Any, accepted: Any, outcome: Any) -> None:
         if not isinstance(outcome, delivery.Refused):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -272,7 +272,7 @@
     assert runner.invoke(main, ["lab", "explain", "nothing", "calm"]).exit_code == 2
 
 
-def test_silent_partner_does_not_reply_to_repeated_messages_either() -> None:
+def test_silent_partner_does_not_reply_to_repeated_messages() -> None:
     text = make_script(
         20900,
         'trouble("silent", at = "3s", last = "5s", who = "p1.example")',
