--- a/honeybarrow/lab/interleaving_explorer.py
+++ b/honeybarrow/lab/interleaving_explorer.py
@@ -142,7 +142,7 @@
 class ExplorationResult:
     """The result of an exploration; ``is_complete`` is true if all schedules were run without a violation."""
 
-    schedules: int = 0
+    schedule_count: int = 0
     longest_schedule: int = 0
     duration_s: float = 0.0
     is_complete: bool = False
@@ -183,9 +183,9 @@
         """Run schedules until one has a violation, none is left, or ``max_schedules`` were run."""
         result, started_s = ExplorationResult(), time.monotonic()
         unexplored_prefixes: list[tuple[int, ...]] = [()]
-        while unexplored_prefixes and result.schedules < max_schedules:
+        while unexplored_prefixes and result.schedule_count < max_schedules:
             run = self._run_schedule(unexplored_prefixes.pop(), unexplored_prefixes)
-            result.schedules += 1
+            result.schedule_count += 1
             result.longest_schedule = max(result.longest_schedule, len(run.schedule))
             if run.violation:
                 result.violation, result.schedule = run.violation, run.schedule
--- a/tests/test_interleaving_explorer.py
+++ b/tests/test_interleaving_explorer.py
@@ -107,7 +107,7 @@
 def test_writer_is_correct_in_every_schedule(fails_at: int, items: str, readers: int) -> None:
     result = create_explorer(WriterThread, fails_at, items, readers).explore_schedules()
     assert result.is_complete and not result.violation, result
-    assert result.schedules > 50, "too few schedules were explored"
+    assert result.schedule_count > 50, "too few schedules were explored"
 
 
 @pytest.mark.parametrize(
@@ -125,7 +125,7 @@
     writer_type: type[WriterThread[str]], fails_at: int, items: str, readers: int
 ) -> None:
     result = create_explorer(writer_type, fails_at, items, readers).explore_schedules()
-    assert result.violation, f"{writer_type.__name__} violated nothing in {result.schedules} schedules"
+    assert result.violation, f"{writer_type.__name__} violated nothing in {result.schedule_count} schedules"
 
 
 class SignalReceiver:
