--- a/benchmarks/soak_mutants.py
+++ b/benchmarks/soak_mutants.py
@@ -1,10 +1,10 @@
-"""Mends and guards that are taken out of the forwarder, one at a time, and whether the soak finds each.
+"""Mutation test of the soak: whether it detects faults that are introduced into the forwarder.
 
     python -m benchmarks.soak_mutants [--seeds 6] [--jobs 3] [--one NAME]
 
-A mutant is a copy of the package with some lines changed. It plays runs of the kinds of faults that it is
-about, seeds 1, 2, ..., until one breaks a rule. What the guard catches by itself counts as found: its counts
-have to be zero as well.
+A mutant is a copy of the package with some lines changed. Each one is run with the kinds of faults that it
+is sensitive to, with seeds 1, 2, ..., until a rule breaks. A violation that the forwarder's guard logs counts
+as a broken rule.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 FORWARDERS = 10
 LOAD_S = 12.0
 FAULTS = 40
-CLOCKS = (FaultKind.CLOCK_STEP, FaultKind.CLOCK_STEP_AT_RESTART)
-ENDPOINTS = (FaultKind.ENDPOINT_MODE, FaultKind.ENDPOINT_CRASH, FaultKind.LINK)
-DEATHS = (FaultKind.KILL, FaultKind.TORN_WRITE)
-FOLDERS = (FaultKind.FOLDER, *DEATHS)
+CLOCK_FAULTS = (FaultKind.CLOCK_STEP, FaultKind.CLOCK_STEP_AT_RESTART)
+ENDPOINT_FAULTS = (FaultKind.ENDPOINT_MODE, FaultKind.ENDPOINT_CRASH, FaultKind.LINK)
+CRASH_FAULTS = (FaultKind.KILL, FaultKind.TORN_WRITE)
+FOLDER_FAULTS = (FaultKind.FOLDER, *CRASH_FAULTS)
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
-    """Lines of a file, and what stands in their place."""
+class SourceChange:
+    """A replacement of lines in one file."""
 
     file: str
     old: str
@@ -45,11 +45,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakMutant:
-    """A fault of the program, and the kinds of faults of a run that should show it."""
+    """A defect of the program, and the faults of the runs that should expose it."""
 
-    changes: tuple[Change, ...]
+    changes: tuple[SourceChange, ...]
     kinds: tuple[FaultKind, ...]
-    forwarders: int = FORWARDERS  # fewer where two faults have to meet at one
+    forwarders: int = FORWARDERS  # fewer if several faults must hit the same forwarder
     faults: int = FAULTS
 
 
@@ -59,39 +59,39 @@
     forwarders: int = FORWARDERS,
     faults: int = FAULTS,
 ) -> SoakMutant:
-    return SoakMutant(tuple(Change(*each) for each in changes), kinds, forwarders, faults)
+    return SoakMutant(tuple(SourceChange(*each) for each in changes), kinds, forwarders, faults)
 
 
-GUARD = "message_guard.py"
+GUARD_FILE = "message_guard.py"
 NO_REPEAT_GUARD = (
-    GUARD,
+    GUARD_FILE,
     "        spec = tracked.message_class\n        if tracked.ambiguous",
     "        return None\n        spec = tracked.message_class\n        if tracked.ambiguous",
 )
 NO_ENDPOINT_GUARD = (
-    GUARD,
+    GUARD_FILE,
     "        endpoint = self._endpoints.get(target)\n        if endpoint is None or not",
     "        return None\n        endpoint = self._endpoints.get(target)\n        if endpoint is None or not",
 )
 MUTANTS: dict[str, SoakMutant] = {
-    "none": _mutant((*CLOCKS, *ENDPOINTS, *FOLDERS)),
-    "mend: timers by the wall clock": _mutant(
-        (*CLOCKS, *ENDPOINTS),
+    "none": _mutant((*CLOCK_FAULTS, *ENDPOINT_FAULTS, *FOLDER_FAULTS)),
+    "timers use the wall clock": _mutant(
+        (*CLOCK_FAULTS, *ENDPOINT_FAULTS),
         ("resilient_reactor.py", "staticmethod(time.monotonic)", "staticmethod(time.time)"),
     ),
-    "mend: log time by the wall clock": _mutant(
-        (*CLOCKS, *ENDPOINTS, FaultKind.KILL),
+    "log time uses the wall clock": _mutant(
+        (*CLOCK_FAULTS, *ENDPOINT_FAULTS, FaultKind.KILL),
         (
             "node/write_ahead_log.py",
             "return self.timeline.to_log_time_us(self._clocks.monotonic_us())",
             "return self._clocks.wall_us()",
         ),
     ),
-    "mend: the anchor is ignored at a start": _mutant(
-        (*CLOCKS, *ENDPOINTS),
+    "the clock anchor is ignored at startup": _mutant(
+        (*CLOCK_FAULTS, *ENDPOINT_FAULTS),
         ("node/write_ahead_log.py", "start_timeline(self._anchor, ", "start_timeline(None, "),
     ),
-    "mend: a listener that rests does not resume": _mutant(
+    "a paused listener does not resume": _mutant(
         (FaultKind.SYSTEM_CALL,),
         (
             "tcp_transports.py",
@@ -101,18 +101,18 @@
         forwarders=4,
         faults=100,
     ),
-    "mend: a result is notified before it is recorded": _mutant(
-        (*FOLDERS, *ENDPOINTS),
+    "a result is notified before it is recorded": _mutant(
+        (*FOLDER_FAULTS, *ENDPOINT_FAULTS),
         (
-            GUARD,
+            GUARD_FILE,
             "        if not tracked.is_result_recorded and now_us < tracked.expires_us:",
             "        if False:",
         ),
         forwarders=3,
         faults=70,
     ),
-    "mend: an attempt starts though it can't be recorded": _mutant(
-        (*FOLDERS, *ENDPOINTS),
+    "an attempt starts although it can't be recorded": _mutant(
+        (*FOLDER_FAULTS, *ENDPOINT_FAULTS),
         (
             "delivery/attempts.py",
             "context.is_idempotent(self.message.submission.class_name)",
@@ -127,36 +127,40 @@
         forwarders=3,
         faults=70,
     ),
-    "mend: a torn write is not cut off": _mutant(
-        (*FOLDERS, *ENDPOINTS),
+    "a torn write is not truncated": _mutant(
+        (*FOLDER_FAULTS, *ENDPOINT_FAULTS),
         (
             "node/segment_files.py",
             "            os.ftruncate(self._descriptor, self.sizes[self.newest])",
             "            self.sizes[self.newest] += written",
         ),
     ),
-    "mend: a segment that can't be read is empty": _mutant(
-        (FaultKind.FOLDER, FaultKind.KILL, *ENDPOINTS),
+    "an unreadable segment is treated as empty": _mutant(
+        (FaultKind.FOLDER, FaultKind.KILL, *ENDPOINT_FAULTS),
         (
             "node/segment_files.py",
             '        with open(self._path(segment), "rb") as file:\n            return file.read()',
             '        try:\n            with open(self._path(segment), "rb") as file:\n                return file.read()\n        except OSError:\n            return b""',
         ),
     ),
-    "mend: no margin for a process held up": _mutant(
-        (FaultKind.STALL, FaultKind.PAUSE, *ENDPOINTS),
+    "no margin for process stalls": _mutant(
+        (FaultKind.STALL, FaultKind.PAUSE, *ENDPOINT_FAULTS),
         ("node/process.py", "MAX_STALL_US = 150_000", "MAX_STALL_US = 0"),
     ),
-    "key window from the last attempt": _mutant(
-        ENDPOINTS,
+    "the idempotency window starts at the last attempt": _mutant(
+        ENDPOINT_FAULTS,
         ("policy/lifecycle.py", "if call.sent_us < message.ambiguous_since_us:", "if True:"),
-        (GUARD, "        if not not_run and tracked.ambiguous_since_us is None:", "        if not not_run:"),
+        (
+            GUARD_FILE,
+            "        if not not_run and tracked.ambiguous_since_us is None:",
+            "        if not not_run:",
+        ),
     ),
-    "202 before its record": _mutant(
-        FOLDERS,
+    "202 is sent before the message is recorded": _mutant(
+        FOLDER_FAULTS,
         ("delivery/forwarder.py", "            if self._is_turn_logged:\n", "            if True:\n"),
     ),
-    "drains ignored": _mutant(
+    "drains are ignored": _mutant(
         (FaultKind.REPLACE, FaultKind.RELOAD),
         (
             "policy/membership.py",
@@ -170,13 +174,13 @@
         ),
         NO_ENDPOINT_GUARD,
     ),
-    "Retry-After ignored": _mutant(
+    "Retry-After is ignored": _mutant(
         (FaultKind.ENDPOINT_MODE,),
         ("policy/lifecycle.py", "state.now + event.retry_after_us", "state.now"),
         NO_ENDPOINT_GUARD,
     ),
     "an attempt in flight at a kill is forgotten": _mutant(
-        (FaultKind.KILL, *ENDPOINTS),
+        (FaultKind.KILL, *ENDPOINT_FAULTS),
         (
             "recovery.py",
             "return min([*self.in_flight.values(), *finished], default=None)",
@@ -184,11 +188,11 @@
         ),
     ),
     "expired messages are resumed": _mutant(
-        (FaultKind.KILL, FaultKind.TERMINATE, *ENDPOINTS),
-        (GUARD, "    if time_left_us <= 0:\n        return Refusal.EXPIRED\n", ""),
+        (FaultKind.KILL, FaultKind.TERMINATE, *ENDPOINT_FAULTS),
+        (GUARD_FILE, "    if time_left_us <= 0:\n        return Refusal.EXPIRED\n", ""),
         ("recovery.py", "min(time_left_us, message_class.deadline_us)", "message_class.deadline_us"),
     ),
-    "a silent watch is not opened anew": _mutant(
+    "a silent watch is not reopened": _mutant(
         (FaultKind.REPLACE, FaultKind.DISCOVERY_LINK),
         (
             "node/discovery.py",
@@ -196,24 +200,24 @@
             "            self._set_timer(None)\n",
         ),
     ),
-    "order keys ignored": _mutant(
-        ENDPOINTS,
+    "order keys are ignored": _mutant(
+        ENDPOINT_FAULTS,
         ("policy/lifecycle.py", "if spec.is_ordered and event.order_key is not None:", "if False:"),
         (
-            GUARD,
+            GUARD_FILE,
             "        if key is None:\n            return None\n        first",
             "        if True:\n            return None\n        first",
         ),
     ),
     "a call never times out": _mutant(
-        ENDPOINTS,
+        ENDPOINT_FAULTS,
         (
             "node/http_call.py",
             "    def _on_timeout(self) -> None:\n        self.timer = None\n",
             "    def _on_timeout(self) -> None:\n        self.timer = None\n        return\n",
         ),
     ),
-    "a reset is taken for a failed connect": _mutant(
+    "a reset is treated as a failed connect": _mutant(
         (FaultKind.ENDPOINT_MODE, FaultKind.LINK),
         (
             "node/http_call.py",
@@ -222,7 +226,7 @@
         ),
     ),
     "a notification is not sent again": _mutant(
-        (FaultKind.DISCOVERY_LINK, FaultKind.SYSTEM_CALL, *ENDPOINTS),
+        (FaultKind.DISCOVERY_LINK, FaultKind.SYSTEM_CALL, *ENDPOINT_FAULTS),
         (
             "node/notifications.py",
             "        if self.unacknowledged:\n            log.info(",
@@ -230,12 +234,12 @@
         ),
     ),
     "non-idempotent messages are repeated": _mutant(
-        ENDPOINTS,
+        ENDPOINT_FAULTS,
         ("policy/backoff.py", "        return -1\n", "        return latest\n"),
         NO_REPEAT_GUARD,
     ),
-    "the guard alone fails: an attempt beside another": _mutant(
-        ENDPOINTS,
+    "concurrent attempts that only the guard prevents": _mutant(
+        ENDPOINT_FAULTS,
         (
             "policy/lifecycle.py",
             "        complete(state, message)\n    elif message.is_rejected:",
@@ -246,9 +250,9 @@
 
 
 def make_source(mutant: SoakMutant, folder: Path) -> Path:
-    """Copy the package with the mutant's lines into a folder; return the folder.
+    """Copy the package into a folder, apply the mutant's changes and return the folder.
 
-    :raises ValueError: for lines that are not there once.
+    :raises ValueError: If the text to replace does not occur exactly once in its file.
     """
     copy = folder / "honeybarrow"
     shutil.copytree(PACKAGE, copy, ignore=shutil.ignore_patterns("__pycache__"))
@@ -256,20 +260,20 @@
         path = copy / change.file
         text = path.read_text(encoding="utf-8")
         if text.count(change.old) != 1:
-            raise ValueError(f"{change.file}: {text.count(change.old)} times {change.old!r}")
+            raise ValueError(f"{change.file}: found {text.count(change.old)} times, not once: {change.old!r}")
         path.write_text(text.replace(change.old, change.new), encoding="utf-8")
     return folder
 
 
-def find(name: str, seeds: int) -> str:
-    """Play a mutant; the first seed that breaks a rule, and which."""
+def find_failing_seed(name: str, seeds: int) -> str:
+    """Run a mutant and return a text with the first seed that breaks a rule, and the broken rules."""
     mutant = MUTANTS[name]
-    with tempfile.TemporaryDirectory(prefix="honeybarrow-mutant-") as top:
-        folder = Path(top)
+    with tempfile.TemporaryDirectory(prefix="honeybarrow-mutant-") as temporary_folder:
+        folder = Path(temporary_folder)
         try:
             source = make_source(mutant, folder / "source")
         except ValueError as error:
-            return f"can't be made: {error}"
+            return f"can't be created: {error}"
         library = build_shim(folder)
         for seed in range(1, seeds + 1):
             spec = SoakSpec(seed, mutant.forwarders, load_s=LOAD_S, faults=mutant.faults, kinds=mutant.kinds)
@@ -281,19 +285,19 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Play all mutants, some at a time."""
+    """Run all mutants, or the one named, and print the result of each."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=6)
     parser.add_argument("--jobs", type=int, default=3)
     parser.add_argument("--one", default="")
     args = parser.parse_args(arguments)
     names = [args.one] if args.one else list(MUTANTS)
-    began_s = time.monotonic()
+    started_s = time.monotonic()
     with ThreadPoolExecutor(args.jobs) as threads, get_context("spawn").Pool(args.jobs) as pool:
-        found = threads.map(lambda name: pool.apply(find, (name, args.seeds)), names)
-        for name, text in zip(names, found, strict=True):
+        results = threads.map(lambda name: pool.apply(find_failing_seed, (name, args.seeds)), names)
+        for name, text in zip(names, results, strict=True):
             print(f"{name:55} {text}", flush=True)
-    print(f"{time.monotonic() - began_s:.0f} s")
+    print(f"{time.monotonic() - started_s:.0f} s")
 
 
 if __name__ == "__main__":
--- a/honeybarrow/soak/__init__.py
+++ b/honeybarrow/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The soak test: real forwarder processes on loopback under random, overlapping faults, judged outside."""
+"""Soak test: real forwarder processes on loopback under random faults, checked from their socket traffic."""
--- a/honeybarrow/soak/clients.py
+++ b/honeybarrow/soak/clients.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the clients of one forwarder: usual ones, and a crowd that connects and stays."""
+"""Clients of one forwarder: a pool that sends requests, and a flood of connections that stay open."""
 
 from __future__ import annotations
 
@@ -7,50 +7,50 @@
 import time
 from collections import deque
 
-from honeybarrow.soak.history import EventKind, History, RequestFacts
+from honeybarrow.soak.history import ClientRequest, EventKind, History
 from honeybarrow.soak.http_messages import HttpMessage, HttpMessageReader
 from honeybarrow.soak.link import LinkCondition, LinkConnection
 from honeybarrow.soak.settings import CLASSES, SoakClass
 
-ANSWER_TIMEOUT_S = 0.4  # a client waits so long for the answer to its request
+RESPONSE_TIMEOUT_S = 0.4
 MAX_CONNECTIONS = 16
 CONNECT_TIMEOUT_S = 0.4
-ORDER_KEYS = 4
-CLOSE_SHARE = 0.05  # of the answers, after which the client closes its connection
-BAD_CLIENT_ANSWER_S = 3.0  # within which a request that stops in the middle has an error or a close
-LEFT_SHARE = (0.25, 1.0)  # of the class's deadline
+ORDER_KEY_COUNT = 4
+CLOSE_PROBABILITY = 0.05  # that the client closes its connection after a response
+PARTIAL_REQUEST_TIMEOUT_S = 3.0  # in which the forwarder must reject or close an incomplete request
+TIME_LEFT_FRACTION = (0.25, 1.0)  # range of X-Time-Left, as a fraction of the class's deadline
 
 
 class _ClientConnection(LinkConnection):
-    """A client's connection to the forwarder: one request at a time."""
+    """Connection from a client to the forwarder, with at most one request in flight."""
 
     def __init__(self, pool: ClientPool, condition: LinkCondition) -> None:
         super().__init__(condition)
         self.pool = pool
         self.reader = HttpMessageReader()
-        self.answer: asyncio.Future[HttpMessage | None] | None = None
+        self.response: asyncio.Future[HttpMessage | None] | None = None
 
-    def on_bytes(self, data: bytes, arrived_s: float) -> None:
-        """Read the answer."""
+    def on_data_delivered(self, data: bytes, arrived_s: float) -> None:
+        """Complete the pending request with its response."""
         for message in self.reader.receive(data, arrived_s):
-            answer, self.answer = self.answer, None
-            if answer is not None and not answer.done():
-                answer.set_result(message)
+            response, self.response = self.response, None
+            if response is not None and not response.done():
+                response.set_result(message)
 
     def eof_received(self) -> bool:
-        """Asyncio: the forwarder has ended its sending; the connection is of no further use."""
+        """Close the connection when the forwarder half-closes it."""
         return False
 
-    def on_lost(self) -> None:
-        """Tell the request that its connection is gone."""
-        self.pool.forget(self)
-        answer, self.answer = self.answer, None
-        if answer is not None and not answer.done():
-            answer.set_result(None)
+    def on_connection_lost(self) -> None:
+        """Remove the connection from its pool and fail the pending request."""
+        self.pool.remove(self)
+        response, self.response = self.response, None
+        if response is not None and not response.done():
+            response.set_result(None)
 
 
 class ClientPool:
-    """The usual clients of one forwarder, at a rate of requests a second."""
+    """Clients of one forwarder that send requests at a given average rate and reuse connections."""
 
     def __init__(
         self,
@@ -68,28 +68,28 @@
         self._open: dict[_ClientConnection, None] = {}
         self._busy_keys: dict[str, None] = {}
         self._tasks: dict[asyncio.Task[None], None] = {}
-        self._count = 0
+        self._request_count = 0
         self._is_running = True
 
     async def run(self, until_s: float) -> None:
-        """Send requests until then."""
+        """Send requests until ``until_s`` on the monotonic clock."""
         while self._is_running and time.monotonic() < until_s:
             await asyncio.sleep(self._rng.expovariate(self.rate_per_s))
             task = asyncio.create_task(self._send_request())
             self._tasks[task] = None
-            task.add_done_callback(lambda done: self._tasks.pop(done, None))
+            task.add_done_callback(lambda finished: self._tasks.pop(finished, None))
 
-    def forget(self, connection: _ClientConnection) -> None:
-        """Forget a connection that is gone."""
+    def remove(self, connection: _ClientConnection) -> None:
+        """Remove a lost connection."""
         self._open.pop(connection, None)
         if connection in self._idle:
             self._idle.remove(connection)
 
     async def _send_request(self) -> None:
-        message_class = self._rng.choices(CLASSES, [each.share for each in CLASSES])[0]
-        order_key = f"k{self._rng.randrange(ORDER_KEYS)}" if message_class.is_ordered else ""
+        message_class = self._rng.choices(CLASSES, [each.traffic_share for each in CLASSES])[0]
+        order_key = f"k{self._rng.randrange(ORDER_KEY_COUNT)}" if message_class.is_ordered else ""
         if order_key in self._busy_keys:
-            return  # a client of an ordered key sends its next message after the answer to the last
+            return  # An ordered key has at most one request in flight.
         self._busy_keys[order_key] = None
         try:
             await self._submit(message_class, order_key)
@@ -97,23 +97,29 @@
             self._busy_keys.pop(order_key, None)
 
     async def _submit(self, message_class: SoakClass, order_key: str) -> None:
-        self._count += 1
-        message = f"{self.forwarder}-{self._count:05d}"
-        left_s = message_class.deadline_s * self._rng.uniform(*LEFT_SHARE)
+        self._request_count += 1
+        message = f"{self.forwarder}-{self._request_count:05d}"
+        time_left_s = message_class.deadline_s * self._rng.uniform(*TIME_LEFT_FRACTION)
         destination = self._rng.choice(self.destinations)
         for _ in range(2):
-            reused = self._take_idle()
+            reused = self._pop_idle()
             connection = reused or await self._connect()
             if connection is None:
                 return
-            facts = RequestFacts(
-                message, self.forwarder, message_class.name, destination, time.monotonic(), left_s, order_key
+            request = ClientRequest(
+                message,
+                self.forwarder,
+                message_class.name,
+                destination,
+                time.monotonic(),
+                time_left_s,
+                order_key,
             )
-            is_over = await self._exchange(connection, facts, is_reused=reused is not None)
-            if is_over or reused is None:
+            is_finished = await self._exchange(connection, request, is_reused=reused is not None)
+            if is_finished or reused is None:
                 return
 
-    def _take_idle(self) -> _ClientConnection | None:
+    def _pop_idle(self) -> _ClientConnection | None:
         while self._idle:
             connection = self._idle.pop()
             if not connection.is_lost:
@@ -135,54 +141,56 @@
         self._open[connection] = None
         return connection
 
-    async def _exchange(self, connection: _ClientConnection, facts: RequestFacts, is_reused: bool) -> bool:
-        """Send a request and wait for its answer; whether it must not be sent once more."""
-        connection.answer = answer = asyncio.get_running_loop().create_future()
-        self.history.requests[facts.message] = facts
-        where = "reused" if is_reused else "new"
-        self.history.add(EventKind.REQUEST, self.forwarder, facts.message, detail=where)
-        connection.send(encode_request(facts))
+    async def _exchange(self, connection: _ClientConnection, request: ClientRequest, is_reused: bool) -> bool:
+        """Send a request and wait for its response; return ``False`` if it may be retried."""
+        connection.response = pending = asyncio.get_running_loop().create_future()
+        self.history.requests[request.message] = request
+        connection_state = "reused" if is_reused else "new"
+        self.history.add(EventKind.REQUEST, self.forwarder, request.message, detail=connection_state)
+        connection.send(encode_request(request))
         try:
-            response = await asyncio.wait_for(answer, ANSWER_TIMEOUT_S)
+            response = await asyncio.wait_for(pending, RESPONSE_TIMEOUT_S)
         except TimeoutError:
-            self.history.add(EventKind.NO_ANSWER, self.forwarder, facts.message, detail="timeout")
-            connection.answer = None
+            self.history.add(EventKind.NO_ANSWER, self.forwarder, request.message, detail="timeout")
+            connection.response = None
             connection.reset()
             return True
         if response is None:
-            self.history.add(EventKind.NO_ANSWER, self.forwarder, facts.message, detail=f"closed {where}")
+            self.history.add(
+                EventKind.NO_ANSWER, self.forwarder, request.message, detail=f"closed {connection_state}"
+            )
             return False
         self.history.add(
-            EventKind.ANSWER, self.forwarder, facts.message, detail=str(response.status),
-            at_s=response.last_byte_s,
+            EventKind.ANSWER, self.forwarder, request.message, detail=str(response.status),
+            time_s=response.last_byte_s,
         )  # fmt: skip
-        if response.fields.get("connection") == "close" or self._rng.random() < CLOSE_SHARE:
+        if response.fields.get("connection") == "close" or self._rng.random() < CLOSE_PROBABILITY:
             connection.close()
         elif not connection.is_lost:
             self._idle.append(connection)
         return True
 
-    async def send_half_request(self) -> None:
-        """Be a client that stops in the middle of a request and stays."""
+    async def send_partial_request(self) -> None:
+        """Send an incomplete request and record whether the forwarder rejects or closes it."""
         connection = await self._connect()
         if connection is None:
             return
-        connection.answer = answer = asyncio.get_running_loop().create_future()
+        connection.response = pending = asyncio.get_running_loop().create_future()
         connection.send(b"POST /note HTTP/1.1\r\nHost: o\r\nX-Corr")
         started_s = time.monotonic()
         try:
-            response = await asyncio.wait_for(answer, BAD_CLIENT_ANSWER_S + 1.0)
+            response = await asyncio.wait_for(pending, PARTIAL_REQUEST_TIMEOUT_S + 1.0)
         except TimeoutError:
-            self.history.add(EventKind.BAD_CLIENT, self.forwarder, detail="left alone")
+            self.history.add(EventKind.BAD_CLIENT, self.forwarder, detail="unanswered")
             connection.reset()
             return
-        what = "closed" if response is None else str(response.status)
+        outcome = "closed" if response is None else str(response.status)
         self.history.add(
-            EventKind.BAD_CLIENT, self.forwarder, detail=what, amount=time.monotonic() - started_s
+            EventKind.BAD_CLIENT, self.forwarder, detail=outcome, amount=time.monotonic() - started_s
         )
 
     def close(self) -> None:
-        """End all requests and connections."""
+        """Cancel all requests and reset all connections."""
         self._is_running = False
         for task in list(self._tasks):
             task.cancel()
@@ -190,29 +198,29 @@
             connection.reset()
 
 
-def encode_request(facts: RequestFacts) -> bytes:
-    """Return the bytes of a client's request."""
-    body = facts.message.encode() * 3
-    path = f"/{facts.class_name}/{facts.order_key}" if facts.order_key else f"/{facts.class_name}"
+def encode_request(request: ClientRequest) -> bytes:
+    """Return a request as HTTP/1.1 bytes."""
+    body = request.message.encode() * 3
+    path = f"/{request.class_name}/{request.order_key}" if request.order_key else f"/{request.class_name}"
     return (
-        f"POST {path} HTTP/1.1\r\nHost: soak\r\nX-Correlation-Id: {facts.message}\r\n"
-        f"X-Service-Class: {facts.class_name}\r\nX-Time-Left: {facts.left_s * 1000:.0f}m\r\n"
-        f"X-Consignee: dest={facts.destination}\r\nIdempotency-Key: key-{facts.message}\r\n"
+        f"POST {path} HTTP/1.1\r\nHost: soak\r\nX-Correlation-Id: {request.message}\r\n"
+        f"X-Service-Class: {request.class_name}\r\nX-Time-Left: {request.time_left_s * 1000:.0f}m\r\n"
+        f"X-Consignee: dest={request.destination}\r\nIdempotency-Key: key-{request.message}\r\n"
         f"Content-Length: {len(body)}\r\n\r\n"
     ).encode() + body
 
 
-class IdleCrowd:
-    """Clients that connect, ask once or not at all, and stay for as long as they are let."""
+class ConnectionFlood:
+    """Clients that open connections, send at most one request each, and keep the connections open."""
 
-    def __init__(self, address: tuple[str, int], size: int, rng: random.Random) -> None:
-        self.address, self.size, self._rng = address, size, rng
+    def __init__(self, address: tuple[str, int], connection_count: int, rng: random.Random) -> None:
+        self.address, self.connection_count, self._rng = address, connection_count, rng
         self._writers: list[asyncio.StreamWriter] = []
 
     async def run(self, seconds: float) -> None:
-        """Connect one after another over so many seconds."""
-        for _ in range(self.size):
-            await asyncio.sleep(seconds / self.size)
+        """Open the connections one by one, spread evenly over ``seconds``."""
+        for _ in range(self.connection_count):
+            await asyncio.sleep(seconds / self.connection_count)
             try:
                 _, writer = await asyncio.wait_for(asyncio.open_connection(*self.address), CONNECT_TIMEOUT_S)
             except (TimeoutError, OSError):
@@ -225,6 +233,6 @@
                 writer.write(b"POST /note HTT")
 
     def close(self) -> None:
-        """Leave."""
+        """Abort all connections."""
         for writer in self._writers:
             writer.transport.abort()
--- a/honeybarrow/soak/discovery.py
+++ b/honeybarrow/soak/discovery.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform: discovery's list and watch, and the place where notifications go."""
+"""Stand-in for the platform: the discovery service (list and watch) and the receiver of notifications."""
 
 from __future__ import annotations
 
@@ -15,45 +15,48 @@
 from honeybarrow.soak.settings import CAPACITY_PER_S
 
 HEARTBEAT_INTERVAL_S = 2.0
-WATCH_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-NO_CONTENT = b"HTTP/1.1 204 No Content\r\n\r\n"
-UNAVAILABLE = b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n"
+WATCH_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+NO_CONTENT_RESPONSE = b"HTTP/1.1 204 No Content\r\n\r\n"
+UNAVAILABLE_RESPONSE = b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n"
 _INDEX = re.compile(r"[?&]index=(\d+)")
 
 
 @dataclass(frozen=True, slots=True)
 class ListChange:
-    """The state of one endpoint from a version of the list on."""
+    """A change of one endpoint's state, with the list version that introduced it."""
 
     version: int
     endpoint: StandInEndpoint
-    status: str  # active, leaving or left
+    status: str  # "active", "leaving" or "left"
 
 
 class _DiscoveryConnection(LinkConnection):
-    """A forwarder's connection to discovery."""
+    """Connection from a forwarder to the discovery service."""
 
     def __init__(self, discovery: StandInDiscovery, forwarder: str, condition: LinkCondition) -> None:
         super().__init__(condition)
         self.discovery, self.forwarder = discovery, forwarder
         self.reader = HttpMessageReader()
-        self.watched_version: int | None = None  # it watches, and was sent all up to here
+        self.watched_version: int | None = None  # last version sent; None before a watch
 
-    def on_bytes(self, data: bytes, arrived_s: float) -> None:
-        """Read requests."""
+    def on_data_delivered(self, data: bytes, arrived_s: float) -> None:
+        """Dispatch complete requests."""
         for message in self.reader.receive(data, arrived_s):
             if message.start_line.startswith("POST /reports"):
                 self.discovery.on_notifications(self, message)
             else:
                 self.discovery.on_watch(self, message)
 
-    def on_lost(self) -> None:
-        """Forget the connection."""
+    def on_connection_lost(self) -> None:
+        """Remove the connection's watch."""
         self.discovery.watches.pop(self, None)
 
 
 class StandInDiscovery:
-    """The list of endpoints, shown to each forwarder with addresses of its own, at two listeners each."""
+    """Discovery service with two listeners for each forwarder.
+
+    Each endpoint has a separate port for each forwarder, so every forwarder receives its own addresses.
+    """
 
     def __init__(self, host: str, history: History) -> None:
         self.host, self.history = host, history
@@ -62,13 +65,13 @@
         self.statuses: dict[str, ListChange] = {}
         self.is_down = False
         self.links: dict[str, LinkCondition] = {}
-        self.addresses: dict[str, list[str]] = {}  # of each forwarder: a first and a second one
+        self.addresses: dict[str, list[str]] = {}  # two by forwarder
         self.watches: dict[_DiscoveryConnection, None] = {}
         self._servers: list[asyncio.Server] = []
         self._heartbeat: asyncio.TimerHandle | None = None
 
     async def listen(self, forwarder: str) -> None:
-        """Listen for one forwarder at both addresses."""
+        """Open both listeners of one forwarder."""
         condition = self.links.setdefault(forwarder, LinkCondition())
         loop = asyncio.get_running_loop()
         for _ in range(2):
@@ -82,7 +85,7 @@
             self._heartbeat = loop.call_later(HEARTBEAT_INTERVAL_S, self._send_heartbeats)
 
     def set_status(self, endpoint: StandInEndpoint, status: str) -> None:
-        """Change the list."""
+        """Set the state of an endpoint and send the change to all watches."""
         self.version += 1
         change = ListChange(self.version, endpoint, status)
         self.changes.append(change)
@@ -93,12 +96,12 @@
         for watch in list(self.watches):
             self._send_changes(watch)
 
-    def known_list(self, forwarder: str) -> dict[str, Any]:
-        """Return the whole list, as one forwarder is shown it."""
-        rows = [self._row(change, forwarder) for change in self.statuses.values()]
-        return {"index": self.version, "snapshot": True, "endpoints": rows}
+    def endpoint_list(self, forwarder: str) -> dict[str, Any]:
+        """Return a full snapshot of the list with the addresses for one forwarder."""
+        entries = [self._endpoint_entry(change, forwarder) for change in self.statuses.values()]
+        return {"index": self.version, "snapshot": True, "endpoints": entries}
 
-    def _row(self, change: ListChange, forwarder: str) -> dict[str, Any]:
+    def _endpoint_entry(self, change: ListChange, forwarder: str) -> dict[str, Any]:
         endpoint = change.endpoint
         return {
             "name": endpoint.name,
@@ -112,26 +115,26 @@
         }
 
     def on_watch(self, connection: _DiscoveryConnection, request: HttpMessage) -> None:
-        """Open a watch from the version held."""
+        """Start a watch from the version that the request names, or refuse it while discovery is down."""
         if self.is_down:
-            connection.send(UNAVAILABLE)
+            connection.send(UNAVAILABLE_RESPONSE)
             return
-        connection.send(WATCH_HEAD)
+        connection.send(WATCH_RESPONSE_HEAD)
         index = _INDEX.search(request.start_line)
         connection.watched_version = int(index[1]) if index else 0
         self.watches[connection] = None
         self._send_changes(connection)
 
     def _send_changes(self, connection: _DiscoveryConnection) -> None:
-        held = connection.watched_version or 0
-        newest: dict[str, ListChange] = {}
+        sent_version = connection.watched_version or 0
+        latest_changes: dict[str, ListChange] = {}
         for change in self.changes:
-            if change.version > held:
-                newest[change.endpoint.name] = change
+            if change.version > sent_version:
+                latest_changes[change.endpoint.name] = change
         connection.watched_version = self.version
-        rows = [self._row(change, connection.forwarder) for change in newest.values()]
-        item = {"index": self.version, "snapshot": False, "endpoints": rows}
-        changes = list(newest.values())
+        entries = [self._endpoint_entry(change, connection.forwarder) for change in latest_changes.values()]
+        update = {"index": self.version, "snapshot": False, "endpoints": entries}
+        changes = list(latest_changes.values())
 
         def on_written(written_s: float) -> None:
             for change in changes:
@@ -140,42 +143,42 @@
                     connection.forwarder,
                     endpoint=change.endpoint.name,
                     detail=change.status,
-                    at_s=written_s,
+                    time_s=written_s,
                 )
 
-        connection.send(_chunk(json.dumps(item).encode() + b"\n"), on_written)
+        connection.send(_encode_chunk(json.dumps(update).encode() + b"\n"), on_written)
 
     def _send_heartbeats(self) -> None:
         for watch in list(self.watches):
-            watch.send(_chunk(b"\n"))
+            watch.send(_encode_chunk(b"\n"))
         loop = asyncio.get_running_loop()
         self._heartbeat = loop.call_later(HEARTBEAT_INTERVAL_S, self._send_heartbeats)
 
     def on_notifications(self, connection: _DiscoveryConnection, request: HttpMessage) -> None:
-        """Take notifications; also while discovery is down."""
+        """Record notifications; they are accepted even while discovery is down."""
         for line in request.body.splitlines():
-            row = json.loads(line)
+            notification = json.loads(line)
             self.history.add(
                 EventKind.NOTIFIED,
                 connection.forwarder,
-                str(row["message"]),
-                detail=str(row["outcome"]),
-                at_s=request.last_byte_s,
+                str(notification["message"]),
+                detail=str(notification["outcome"]),
+                time_s=request.last_byte_s,
             )
-        connection.send(NO_CONTENT)
+        connection.send(NO_CONTENT_RESPONSE)
 
     def go_down(self) -> None:
-        """End all watches and refuse new ones."""
+        """Reset all watches and refuse new ones until :meth:`come_back`."""
         self.is_down = True
         for watch in list(self.watches):
             watch.reset()
 
-    def come_up(self) -> None:
-        """Serve again."""
+    def come_back(self) -> None:
+        """Accept watches again."""
         self.is_down = False
 
     def close(self) -> None:
-        """Close all sockets."""
+        """Cancel the heartbeat and close all sockets."""
         if self._heartbeat is not None:
             self._heartbeat.cancel()
         for server in self._servers:
@@ -184,5 +187,5 @@
             watch.reset()
 
 
-def _chunk(data: bytes) -> bytes:
+def _encode_chunk(data: bytes) -> bytes:
     return f"{len(data):x}\r\n".encode() + data + b"\r\n"
--- a/honeybarrow/soak/fault_shim.c
+++ b/honeybarrow/soak/fault_shim.c
@@ -1,9 +1,9 @@
 /*
- * Preloaded into a forwarder under test: steps its wall clock, and makes its system calls fail.
+ * Library preloaded into a forwarder under test. It steps the wall clock and injects system call errors.
  *
- * The controlling process maps the same file and changes it while the forwarder runs. Layout and meaning of
- * the fields are those of fault_shim.py. Without HONEYBARROW_FAULT_CONTROL nothing is changed. The monotonic
- * clock is never touched.
+ * The controlling process maps the file named by HONEYBARROW_FAULT_CONTROL and changes it while the forwarder
+ * runs; fault_shim.py defines the same layout. Without that variable the library has no effect. The monotonic
+ * clock is never changed.
  */
 #define _GNU_SOURCE
 #include <dirent.h>
@@ -31,39 +31,40 @@
 #define MAX_PATH_BYTES 256
 #define MILLION 1000000u
 
-/* In the order of fault_shim.SystemCall. */
-enum point {
-    POINT_SOCKET, POINT_CONNECT, POINT_BIND, POINT_LISTEN, POINT_ACCEPT, POINT_RECV, POINT_SEND,
-    POINT_SHUTDOWN, POINT_EPOLL_CTL, POINT_OPEN, POINT_READ, POINT_WRITE, POINT_FSYNC, POINT_RENAME,
-    POINT_UNLINK, POINT_STAT, POINT_LIST, POINT_TRUNCATE, POINT_COUNT
+/* Same order as fault_shim.SystemCall. */
+enum system_call {
+    CALL_SOCKET, CALL_CONNECT, CALL_BIND, CALL_LISTEN, CALL_ACCEPT, CALL_RECV, CALL_SEND,
+    CALL_SHUTDOWN, CALL_EPOLL_CTL, CALL_OPEN, CALL_READ, CALL_WRITE, CALL_FSYNC, CALL_RENAME,
+    CALL_UNLINK, CALL_STAT, CALL_LIST, CALL_TRUNCATE, CALL_COUNT
 };
 
 struct rule {
-    uint64_t until_ns;          /* monotonic; no fault from then on */
-    uint32_t fail_per_million;  /* of the calls, with one of the errnos */
-    uint32_t short_per_million; /* of the transfers, which move a part of the bytes */
-    uint32_t kill_per_million;  /* of the file writes, which write a part and then kill the process */
-    int32_t errnos[MAX_ERRNOS]; /* ends with 0 */
-    uint32_t hits;              /* faults so far */
+    uint64_t until_ns;          /* end of the faults on the monotonic clock; 0: no faults */
+    uint32_t fail_per_million;  /* calls that fail with one of the errnos */
+    uint32_t short_per_million; /* transfers that move only a part of the bytes */
+    uint32_t kill_per_million;  /* file writes that write a part and then kill the process */
+    int32_t errnos[MAX_ERRNOS]; /* terminated by 0 */
+    uint32_t hits;              /* faults injected so far */
 };
 
 struct control {
     uint32_t magic;
     uint32_t seed;
     int64_t wall_offset_ns;   /* added to the wall clock */
-    uint64_t stall_until_ns;  /* monotonic: until then calls may be stalled */
-    uint32_t stall_per_million; /* of the sends and file writes */
+    uint64_t stall_until_ns;  /* end of the stalls on the monotonic clock */
+    uint32_t stall_per_million; /* sends and file writes that are delayed */
     uint32_t max_stall_us;
-    char folder[MAX_PATH_BYTES]; /* only files below it are subject to faults */
-    char boot_id_file[MAX_PATH_BYTES]; /* read in place of the machine's own, if not empty */
-    struct rule rules[POINT_COUNT];
+    char folder[MAX_PATH_BYTES]; /* only files in it are subject to faults */
+    char boot_id_file[MAX_PATH_BYTES]; /* replaces the machine's boot id, if not empty */
+    struct rule rules[CALL_COUNT];
 };
 
 static struct control *control;
 static uint64_t random_state;
 static unsigned char is_in_folder[MAX_DESCRIPTORS];
 
-#define REAL(type, name, ...)                                  \
+/* Declares real_NAME and resolves it to the next definition of NAME, which this library overrides. */
+#define RESOLVE_REAL(type, name, ...)                          \
     static type (*real_##name)(__VA_ARGS__);                   \
     if (!real_##name) real_##name = (type (*)(__VA_ARGS__))dlsym(RTLD_NEXT, #name)
 
@@ -95,20 +96,20 @@
     return (uint32_t)(random_state >> 32);
 }
 
-static int happens(uint32_t per_million) { return per_million && next_random() % MILLION < per_million; }
+static int draw(uint32_t per_million) { return per_million && next_random() % MILLION < per_million; }
 
-static struct rule *active_rule(enum point point)
+static struct rule *active_rule(enum system_call call)
 {
     if (!control) return NULL;
-    struct rule *rule = &control->rules[point];
+    struct rule *rule = &control->rules[call];
     return rule->until_ns && monotonic_ns() < rule->until_ns ? rule : NULL;
 }
 
-/* Whether the call fails; sets errno then. */
-static int fails(enum point point)
+/* Returns whether the call has to fail, and sets errno if so. */
+static int inject_error(enum system_call call)
 {
-    struct rule *rule = active_rule(point);
-    if (!rule || !happens(rule->fail_per_million)) return 0;
+    struct rule *rule = active_rule(call);
+    if (!rule || !draw(rule->fail_per_million)) return 0;
     int count = 0;
     while (count < MAX_ERRNOS && rule->errnos[count]) count++;
     if (!count) return 0;
@@ -117,11 +118,11 @@
     return 1;
 }
 
-/* How many of the bytes a transfer may move: all, or a part of them. */
-static size_t transfer_size(enum point point, size_t size)
+/* Returns the number of bytes that a transfer may move: all, or a part of them. */
+static size_t transfer_size(enum system_call call, size_t size)
 {
-    struct rule *rule = active_rule(point);
-    if (!rule || size < 2 || !happens(rule->short_per_million)) return size;
+    struct rule *rule = active_rule(call);
+    if (!rule || size < 2 || !draw(rule->short_per_million)) return size;
     rule->hits++;
     return 1 + next_random() % (size - 1);
 }
@@ -129,13 +130,13 @@
 static void maybe_stall(void)
 {
     if (!control || !control->stall_until_ns || monotonic_ns() >= control->stall_until_ns) return;
-    if (!happens(control->stall_per_million) || !control->max_stall_us) return;
+    if (!draw(control->stall_per_million) || !control->max_stall_us) return;
     long duration_us = (long)(next_random() % control->max_stall_us);
     struct timespec duration = {duration_us / 1000000, duration_us % 1000000 * 1000};
     syscall(SYS_nanosleep, &duration, NULL);
 }
 
-static int is_below_folder(const char *path)
+static int is_path_in_folder(const char *path)
 {
     size_t length = control ? strnlen(control->folder, MAX_PATH_BYTES) : 0;
     return length && path && strncmp(path, control->folder, length) == 0;
@@ -146,13 +147,13 @@
     return descriptor >= 0 && descriptor < MAX_DESCRIPTORS && is_in_folder[descriptor];
 }
 
-static int note_open(const char *path, int descriptor)
+static int track_open(const char *path, int descriptor)
 {
-    if (descriptor >= 0 && descriptor < MAX_DESCRIPTORS) is_in_folder[descriptor] = is_below_folder(path);
+    if (descriptor >= 0 && descriptor < MAX_DESCRIPTORS) is_in_folder[descriptor] = is_path_in_folder(path);
     return descriptor;
 }
 
-/* clocks */
+/* Clocks */
 
 int clock_gettime(clockid_t clock, struct timespec *now)
 {
@@ -183,67 +184,67 @@
     return now.tv_sec;
 }
 
-/* sockets */
+/* Sockets */
 
 int socket(int domain, int type, int protocol)
 {
-    REAL(int, socket, int, int, int);
-    return domain == AF_INET && fails(POINT_SOCKET) ? -1 : real_socket(domain, type, protocol);
+    RESOLVE_REAL(int, socket, int, int, int);
+    return domain == AF_INET && inject_error(CALL_SOCKET) ? -1 : real_socket(domain, type, protocol);
 }
 
 int connect(int descriptor, const struct sockaddr *address, socklen_t length)
 {
-    REAL(int, connect, int, const struct sockaddr *, socklen_t);
-    return fails(POINT_CONNECT) ? -1 : real_connect(descriptor, address, length);
+    RESOLVE_REAL(int, connect, int, const struct sockaddr *, socklen_t);
+    return inject_error(CALL_CONNECT) ? -1 : real_connect(descriptor, address, length);
 }
 
 int bind(int descriptor, const struct sockaddr *address, socklen_t length)
 {
-    REAL(int, bind, int, const struct sockaddr *, socklen_t);
-    return fails(POINT_BIND) ? -1 : real_bind(descriptor, address, length);
+    RESOLVE_REAL(int, bind, int, const struct sockaddr *, socklen_t);
+    return inject_error(CALL_BIND) ? -1 : real_bind(descriptor, address, length);
 }
 
 int listen(int descriptor, int backlog)
 {
-    REAL(int, listen, int, int);
-    return fails(POINT_LISTEN) ? -1 : real_listen(descriptor, backlog);
+    RESOLVE_REAL(int, listen, int, int);
+    return inject_error(CALL_LISTEN) ? -1 : real_listen(descriptor, backlog);
 }
 
 int accept4(int descriptor, struct sockaddr *address, socklen_t *length, int flags)
 {
-    REAL(int, accept4, int, struct sockaddr *, socklen_t *, int);
-    return fails(POINT_ACCEPT) ? -1 : real_accept4(descriptor, address, length, flags);
+    RESOLVE_REAL(int, accept4, int, struct sockaddr *, socklen_t *, int);
+    return inject_error(CALL_ACCEPT) ? -1 : real_accept4(descriptor, address, length, flags);
 }
 
 ssize_t recv(int descriptor, void *buffer, size_t size, int flags)
 {
-    REAL(ssize_t, recv, int, void *, size_t, int);
-    if (fails(POINT_RECV)) return -1;
-    return real_recv(descriptor, buffer, transfer_size(POINT_RECV, size), flags);
+    RESOLVE_REAL(ssize_t, recv, int, void *, size_t, int);
+    if (inject_error(CALL_RECV)) return -1;
+    return real_recv(descriptor, buffer, transfer_size(CALL_RECV, size), flags);
 }
 
 ssize_t send(int descriptor, const void *buffer, size_t size, int flags)
 {
-    REAL(ssize_t, send, int, const void *, size_t, int);
+    RESOLVE_REAL(ssize_t, send, int, const void *, size_t, int);
     maybe_stall();
-    if (fails(POINT_SEND)) return -1;
-    return real_send(descriptor, buffer, transfer_size(POINT_SEND, size), flags);
+    if (inject_error(CALL_SEND)) return -1;
+    return real_send(descriptor, buffer, transfer_size(CALL_SEND, size), flags);
 }
 
 int shutdown(int descriptor, int how)
 {
-    REAL(int, shutdown, int, int);
-    return fails(POINT_SHUTDOWN) ? -1 : real_shutdown(descriptor, how);
+    RESOLVE_REAL(int, shutdown, int, int);
+    return inject_error(CALL_SHUTDOWN) ? -1 : real_shutdown(descriptor, how);
 }
 
 int epoll_ctl(int poller, int operation, int descriptor, struct epoll_event *event)
 {
-    REAL(int, epoll_ctl, int, int, int, struct epoll_event *);
-    if (operation != EPOLL_CTL_DEL && fails(POINT_EPOLL_CTL)) return -1;
+    RESOLVE_REAL(int, epoll_ctl, int, int, int, struct epoll_event *);
+    if (operation != EPOLL_CTL_DEL && inject_error(CALL_EPOLL_CTL)) return -1;
     return real_epoll_ctl(poller, operation, descriptor, event);
 }
 
-/* files */
+/* Files */
 
 static const char *boot_id_path(const char *path)
 {
@@ -254,8 +255,8 @@
 
 static int open_file(int folder, const char *path, int flags, mode_t mode)
 {
-    if (is_below_folder(path) && fails(POINT_OPEN)) return -1;
-    return note_open(path, (int)syscall(SYS_openat, folder, boot_id_path(path), flags, mode));
+    if (is_path_in_folder(path) && inject_error(CALL_OPEN)) return -1;
+    return track_open(path, (int)syscall(SYS_openat, folder, boot_id_path(path), flags, mode));
 }
 
 #define OPEN_MODE(flags)                            \
@@ -294,8 +295,8 @@
 ssize_t read(int descriptor, void *buffer, size_t size)
 {
     if (is_folder_file(descriptor)) {
-        if (fails(POINT_READ)) return -1;
-        size = transfer_size(POINT_READ, size);
+        if (inject_error(CALL_READ)) return -1;
+        size = transfer_size(CALL_READ, size);
     }
     return syscall(SYS_read, descriptor, buffer, size);
 }
@@ -304,14 +305,14 @@
 {
     if (is_folder_file(descriptor)) {
         maybe_stall();
-        struct rule *rule = active_rule(POINT_WRITE);
-        if (rule && size > 1 && happens(rule->kill_per_million)) {
+        struct rule *rule = active_rule(CALL_WRITE);
+        if (rule && size > 1 && draw(rule->kill_per_million)) {
             rule->hits++;
             syscall(SYS_write, descriptor, buffer, 1 + next_random() % (size - 1));
             syscall(SYS_kill, getpid(), SIGKILL);
         }
-        if (fails(POINT_WRITE)) return -1;
-        size = transfer_size(POINT_WRITE, size);
+        if (inject_error(CALL_WRITE)) return -1;
+        size = transfer_size(CALL_WRITE, size);
     }
     return syscall(SYS_write, descriptor, buffer, size);
 }
@@ -324,42 +325,43 @@
 
 int fsync(int descriptor)
 {
-    return is_folder_file(descriptor) && fails(POINT_FSYNC) ? -1 : (int)syscall(SYS_fsync, descriptor);
+    return is_folder_file(descriptor) && inject_error(CALL_FSYNC) ? -1 : (int)syscall(SYS_fsync, descriptor);
 }
 
 int fdatasync(int descriptor)
 {
-    return is_folder_file(descriptor) && fails(POINT_FSYNC) ? -1 : (int)syscall(SYS_fdatasync, descriptor);
+    return is_folder_file(descriptor) && inject_error(CALL_FSYNC) ? -1
+                                                                  : (int)syscall(SYS_fdatasync, descriptor);
 }
 
 int ftruncate(int descriptor, off_t size)
 {
-    return is_folder_file(descriptor) && fails(POINT_TRUNCATE) ? -1
-                                                               : (int)syscall(SYS_ftruncate, descriptor, size);
+    return is_folder_file(descriptor) && inject_error(CALL_TRUNCATE) ? -1
+                                                                     : (int)syscall(SYS_ftruncate, descriptor, size);
 }
 
 int ftruncate64(int descriptor, off64_t size) { return ftruncate(descriptor, size); }
 
 int rename(const char *from, const char *to)
 {
-    REAL(int, rename, const char *, const char *);
-    return is_below_folder(to) && fails(POINT_RENAME) ? -1 : real_rename(from, to);
+    RESOLVE_REAL(int, rename, const char *, const char *);
+    return is_path_in_folder(to) && inject_error(CALL_RENAME) ? -1 : real_rename(from, to);
 }
 
 int unlink(const char *path)
 {
-    REAL(int, unlink, const char *);
-    return is_below_folder(path) && fails(POINT_UNLINK) ? -1 : real_unlink(path);
+    RESOLVE_REAL(int, unlink, const char *);
+    return is_path_in_folder(path) && inject_error(CALL_UNLINK) ? -1 : real_unlink(path);
 }
 
 int stat(const char *path, struct stat *result)
 {
-    REAL(int, stat, const char *, struct stat *);
-    return is_below_folder(path) && fails(POINT_STAT) ? -1 : real_stat(path, result);
+    RESOLVE_REAL(int, stat, const char *, struct stat *);
+    return is_path_in_folder(path) && inject_error(CALL_STAT) ? -1 : real_stat(path, result);
 }
 
 DIR *opendir(const char *path)
 {
-    REAL(DIR *, opendir, const char *);
-    return is_below_folder(path) && fails(POINT_LIST) ? NULL : real_opendir(path);
+    RESOLVE_REAL(DIR *, opendir, const char *);
+    return is_path_in_folder(path) && inject_error(CALL_LIST) ? NULL : real_opendir(path);
 }
--- a/honeybarrow/soak/fault_shim.py
+++ b/honeybarrow/soak/fault_shim.py
@@ -1,7 +1,8 @@
-"""Controls the preloaded library that steps a process's wall clock and makes its system calls fail.
+"""Control of the preloaded library that steps a process's wall clock and injects system call errors.
 
-The library is built from ``fault_shim.c`` by the system's C compiler. A process gets it by the environment
-that :meth:`FaultShim.environment` returns, and reads its orders from a mapped file while it runs.
+The library is built from ``fault_shim.c`` by the system's C compiler and preloaded through the environment
+variables of :meth:`FaultShim.environment`. It reads its configuration from a memory-mapped file, which
+:class:`FaultShim` changes while the process runs.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 _MAX_PATH_BYTES = 256
 _MILLION = 1_000_000
 _NANOSECONDS = 1_000_000_000
-_FOREVER_NS = 1 << 63
+_NO_END_NS = 1 << 63
 
 
 class NoCompilerError(HoneybarrowError, RuntimeError):
@@ -36,7 +37,7 @@
 
 
 class SystemCall(enum.IntEnum):
-    """The system calls that can be made to fail; the order is that of ``enum point`` in ``fault_shim.c``."""
+    """System calls that can fail, in the order of ``enum system_call`` in ``fault_shim.c``."""
 
     SOCKET = 0
     CONNECT = 1
@@ -84,9 +85,9 @@
 
 
 def build_shim(folder: Path) -> Path:
-    """Return the library, built into ``folder`` unless it is there.
+    """Return the path of the library in ``folder``, compiling it if it does not exist.
 
-    :raises NoCompilerError: if it can't be built.
+    :raises NoCompilerError: If there is no compiler, or the compilation fails.
     """
     library = folder / f"fault_shim-{hashlib.sha256(SOURCE.read_bytes()).hexdigest()[:16]}.so"
     if library.exists():
@@ -96,18 +97,20 @@
         raise NoCompilerError("there is no C compiler")
     partial = library.with_suffix(f".{os.getpid()}")
     command = [compiler, "-shared", "-fPIC", "-O2", "-o", str(partial), str(SOURCE), "-ldl"]
-    done = subprocess.run(command, capture_output=True, text=True, check=False)
-    if done.returncode != 0:
-        raise NoCompilerError(f"the compiler can't build the library: {done.stderr[:500]}")
+    completed = subprocess.run(command, capture_output=True, text=True, check=False)
+    if completed.returncode != 0:
+        raise NoCompilerError(f"the compiler can't build the library: {completed.stderr[:500]}")
     partial.rename(library)
     return library
 
 
 class FaultShim:
-    """The orders to one process, over its restarts.
+    """Fault configuration of one process, kept across its restarts.
 
-    ``library``: from :func:`build_shim`; ``control_file``: created here; ``folder``: only files below it are
-    subject to faults; ``seed``: of the library's draws.
+    :param library: Path that :func:`build_shim` returned.
+    :param control_file: File to create and share with the process.
+    :param folder: Folder whose files are subject to faults.
+    :param seed: Seed of the library's random numbers.
     """
 
     def __init__(self, library: Path, control_file: Path, folder: Path, seed: int) -> None:
@@ -121,20 +124,20 @@
         self._control.magic = _MAGIC
 
     def environment(self) -> dict[str, str]:
-        """Return what the environment of the process needs."""
+        """Return the environment variables that load the library into a process."""
         return {"LD_PRELOAD": str(self.library), "HONEYBARROW_FAULT_CONTROL": str(self.control_file)}
 
     @property
     def wall_offset_s(self) -> float:
-        """How far the wall clock of the process is from the machine's, in seconds."""
+        """Offset of the process's wall clock from the machine's, in seconds."""
         return int(self._control.wall_offset_ns) / _NANOSECONDS
 
     def step_wall_clock(self, seconds: float) -> None:
-        """Step the wall clock of the process, forward or back."""
+        """Step the wall clock of the process; negative ``seconds`` step it back."""
         self._control.wall_offset_ns += int(seconds * _NANOSECONDS)
 
     def set_boot_id_file(self, path: Path | None) -> None:
-        """Let the process read this file in place of the machine's boot id."""
+        """Replace the machine's boot id by the content of a file, or restore it with ``None``."""
         self._control.boot_id_file = b"" if path is None else os.fsencode(path)
 
     def fail(
@@ -146,32 +149,38 @@
         short_share: float = 0.0,
         kill_share: float = 0.0,
     ) -> None:
-        """Let a share of these calls fail by one of the errnos, for so many seconds (``None``: for ever).
+        """Inject faults into a system call.
 
-        ``short_share``: of transfers that move a part of the bytes; ``kill_share``: of file writes that write
-        a part and then kill the process.
+        :param errnos: Errors to return, one chosen at random per failing call.
+        :param share: Fraction of the calls that fail.
+        :param seconds: Duration of the faults; ``None`` for no limit.
+        :param short_share: Fraction of the transfers that move only a part of the bytes.
+        :param kill_share: Fraction of the file writes that write a part and then kill the process.
         """
         rule = self._control.rules[call]
-        rule.until_ns = 0  # the rule is off while it is written
+        rule.until_ns = 0  # disables the rule while it is updated
         rule.fail_per_million = int(share * _MILLION) if errnos else 0
         rule.short_per_million = int(short_share * _MILLION)
         rule.kill_per_million = int(kill_share * _MILLION)
         rule.errnos = (ctypes.c_int32 * _MAX_ERRNOS)(*errnos[: _MAX_ERRNOS - 1])
-        rule.until_ns = _FOREVER_NS if seconds is None else time.monotonic_ns() + int(seconds * _NANOSECONDS)
+        rule.until_ns = _NO_END_NS if seconds is None else time.monotonic_ns() + int(seconds * _NANOSECONDS)
 
     def stall(self, max_seconds: float, share: float, seconds: float) -> None:
-        """Hold up a share of the sends and file writes, each for up to ``max_seconds``, for so long."""
+        """Delay a fraction ``share`` of the sends and file writes for ``seconds`` from now.
+
+        Each delay is random, up to ``max_seconds``.
+        """
         self._control.max_stall_us = int(max_seconds * _MILLION)
         self._control.stall_per_million = int(share * _MILLION)
         self._control.stall_until_ns = time.monotonic_ns() + int(seconds * _NANOSECONDS)
 
     def recover(self, call: SystemCall | None = None) -> None:
-        """End the faults of one system call, or of all."""
+        """Stop the faults of one system call, or of all."""
         for each in SystemCall if call is None else (call,):
             self._control.rules[each].until_ns = 0
 
     def hits(self, call: SystemCall) -> int:
-        """Return how many faults of this system call there were."""
+        """Return the number of faults injected into a system call so far."""
         return int(self._control.rules[call].hits)
 
     def close(self) -> None:
--- a/honeybarrow/soak/forwarder_process.py
+++ b/honeybarrow/soak/forwarder_process.py
@@ -1,4 +1,4 @@
-"""One real forwarder process under test: its folder, its configuration, its starts and its ends."""
+"""Control of one real forwarder under test: configuration, starts, signals and restarts."""
 
 from __future__ import annotations
 
@@ -29,10 +29,11 @@
 
 
 class ForwarderUnderTest:
-    """A forwarder with its state folder, over all its processes.
+    """A forwarder and its state folder, across the restarts of its process.
 
-    ``descriptors``: its limit; ``port``: that it listens on; ``source``: the checkout whose program it runs,
-    ``None`` for this one.
+    :param descriptors: Limit of open sockets in the forwarder's configuration.
+    :param source: Checkout from which to run the forwarder; ``None`` for the installed package.
+    :param port: Port on which the forwarder listens.
     """
 
     def __init__(
@@ -53,20 +54,20 @@
         self.state = folder / "state"
         self.state.mkdir(parents=True, exist_ok=True)
         self.address = (discovery.host, port)
-        self.discovery_number = 0  # which of the two addresses it uses
+        self.discovery_index = 0  # index into its two discovery addresses
         self.process: subprocess.Popen[bytes] | None = None
-        self.is_ending = False  # by a signal of the plan
-        self.processor_s = 0.0  # of the processes that have ended
+        self.is_stopping = False  # True from an injected signal or a detected exit to the next start
+        self.cpu_s = 0.0  # CPU time of processes that have ended
 
     def write_config(self) -> None:
-        """Write the configuration file, as the platform would have it now."""
+        """Write the configuration file with the current endpoint list."""
         config = {
             "name": self.name,
             "listen": "{}:{}".format(*self.address),
-            "discovery": self.discovery.addresses[self.name][self.discovery_number],
+            "discovery": self.discovery.addresses[self.name][self.discovery_index],
             "seed": f"{zlib.crc32(self.name.encode()):x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.descriptors, "disk_mb": 3},
-            "known": self.discovery.known_list(self.name),
+            "known": self.discovery.endpoint_list(self.name),
             "settings": self.settings,
         }
         partial = self.folder / "config.json.new"
@@ -74,7 +75,7 @@
         partial.rename(self.folder / "config.json")
 
     async def start(self) -> None:
-        """Start a process and wait until it is ready."""
+        """Start a process and wait until it is ready, exits or :data:`READY_TIMEOUT_S` has passed."""
         self.write_config()
         environment = {
             **os.environ,
@@ -86,12 +87,12 @@
         with open(self.folder / "log", "ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "honeybarrow.node"],
-                cwd=self.source,  # whose package goes before the installed one
+                cwd=self.source,  # its package takes precedence over the installed one
                 env=environment,
                 stdout=log,
                 stderr=log,
             )
-        self.is_ending = False
+        self.is_stopping = False
         self.history.add(EventKind.PROCESS, self.name, detail="started")
         started_s = time.monotonic()
         while time.monotonic() - started_s < READY_TIMEOUT_S:
@@ -115,31 +116,31 @@
         return b" 200 " in line
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal, if there is a process."""
+        """Send a signal if the process is running."""
         if self.process is not None and self.process.poll() is None:
             self.history.add(EventKind.PROCESS, self.name, detail=number.name)
             self.process.send_signal(number)
 
     async def kill_and_restart(self, wall_step_s: float = 0.0) -> None:
-        """Kill the process and start the next, with a step of the wall clock in between."""
-        self.is_ending = True
+        """Kill the process, step the wall clock and start the next process."""
+        self.is_stopping = True
         self.send_signal(signal.SIGKILL)
-        await self._wait_for_end()
+        await self._wait_for_exit()
         await self._restart(wall_step_s)
 
     async def terminate_and_restart(self, wall_step_s: float = 0.0) -> None:
-        """SIGTERM, SIGKILL after the platform's shortest time, and the next start."""
-        self.is_ending = True
+        """Send SIGTERM, then SIGKILL after :data:`KILL_DELAY_S`, and start the next process."""
+        self.is_stopping = True
         self.send_signal(signal.SIGTERM)
         await asyncio.sleep(KILL_DELAY_S)
         self.send_signal(signal.SIGKILL)
-        await self._wait_for_end()
+        await self._wait_for_exit()
         await self._restart(wall_step_s)
 
-    async def restart_if_dead(self) -> None:
-        """Start the next process where a fault has ended the last one."""
-        if self.process is not None and self.process.poll() is not None and not self.is_ending:
-            self.is_ending = True
+    async def restart_if_exited(self) -> None:
+        """Start the next process if the last one has exited without a signal of this class."""
+        if self.process is not None and self.process.poll() is not None and not self.is_stopping:
+            self.is_stopping = True
             self.history.add(EventKind.PROCESS, self.name, detail=f"exited {self.process.returncode}")
             await self._restart(0.0)
 
@@ -149,29 +150,29 @@
         await asyncio.sleep(RESTART_DELAY_S)
         await self.start()
 
-    async def _wait_for_end(self) -> None:
+    async def _wait_for_exit(self) -> None:
         assert self.process is not None
         while self.process.poll() is None:
             await asyncio.sleep(0.01)
         self.history.add(EventKind.PROCESS, self.name, detail=f"ended {self.process.returncode}")
 
     def reload(self) -> None:
-        """Write a configuration with the other address of discovery and send SIGHUP."""
-        self.discovery_number = 1 - self.discovery_number
+        """Switch the configuration to the other discovery address and send SIGHUP."""
+        self.discovery_index = 1 - self.discovery_index
         self.write_config()
         self.send_signal(signal.SIGHUP)
 
     async def pause(self, seconds: float) -> None:
-        """Stop the process and let it go on."""
+        """Suspend the process for ``seconds``."""
         self.send_signal(signal.SIGSTOP)
         await asyncio.sleep(seconds)
         self.send_signal(signal.SIGCONT)
 
     async def stop(self) -> int | None:
-        """End the process in order; its exit status, ``None`` if it had to be killed."""
+        """Stop the process with SIGTERM and return its exit status, or ``None`` if it had to be killed."""
         if self.process is None or self.process.poll() is not None:
             return self.process.returncode if self.process else None
-        self.is_ending = True
+        self.is_stopping = True
         self.send_signal(signal.SIGTERM)
         until_s = time.monotonic() + KILL_DELAY_S
         while time.monotonic() < until_s:
@@ -183,32 +184,35 @@
         return None
 
     def kill(self) -> None:
-        """End the process at once, as the run ends."""
+        """Kill the process without recording an event."""
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
             self.process.wait()
 
-    def processor_seconds(self) -> float:
-        """Return the processor time of the present process so far."""
+    def cpu_seconds(self) -> float:
+        """Return the CPU time that the running process has used, in seconds."""
         if self.process is None or self.process.poll() is not None:
             return 0.0
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
     def log_text(self) -> str:
-        """Return the log of all processes."""
+        """Return the log of all processes of this forwarder."""
         path = self.folder / "log"
         return path.read_text(errors="replace") if path.exists() else ""
 
     def guard_violations(self) -> list[str]:
-        """Return the violations that the guard has logged."""
+        """Return the guard violations in the log."""
         return _VIOLATION.findall(self.log_text())
 
 
 def free_ports(host: str, count: int) -> list[int]:
-    """Return ports that are free and differ: found one by one, the same could come twice."""
-    probes = [socket.create_server((host, 0)) for _ in range(count)]
-    ports = [int(probe.getsockname()[1]) for probe in probes]
-    for probe in probes:
-        probe.close()
+    """Return ``count`` distinct free ports.
+
+    All of them are bound at the same time, so that no port is returned twice.
+    """
+    listeners = [socket.create_server((host, 0)) for _ in range(count)]
+    ports = [int(listener.getsockname()[1]) for listener in listeners]
+    for listener in listeners:
+        listener.close()
     return ports
--- a/honeybarrow/soak/history.py
+++ b/honeybarrow/soak/history.py
@@ -1,4 +1,4 @@
-"""What crossed the sockets of a soak run, and what was done to its processes, by real time."""
+"""Record of a soak run: the traffic on the stand-ins' sockets, process events and injected faults."""
 
 from __future__ import annotations
 
@@ -9,26 +9,30 @@
 
 
 class EventKind(enum.StrEnum):
-    """What an event is."""
-
-    REQUEST = "request"  # a client has written a whole request; detail: on which connection
-    ANSWER = "answer"  # its answer has come; detail: the status
-    NO_ANSWER = "no_answer"  # detail: why
-    CALL = "call"  # the last byte of a call has come to an endpoint; amount: time of the first
-    CALL_ANSWERED = "call_answered"  # detail: the status; amount: seconds to wait, of a 429
-    CALL_CLOSED = "call_closed"  # without an answer; detail: by whom
-    NOTIFIED = "notified"  # a notification has come to the platform; detail: the outcome
-    LISTED = "listed"  # discovery has written the state of an endpoint; detail: the state
-    PROCESS = "process"  # detail: what became of a forwarder's process
-    FAULT = "fault"  # detail: what was injected
-    BAD_CLIENT = "bad_client"  # detail: what became of a request that stops in the middle
+    """Kinds of events; the comments say what ``Event.detail`` and ``Event.amount`` hold."""
+
+    REQUEST = "request"  # client sent a complete request; detail: "new" or "reused" connection
+    ANSWER = "answer"  # client received the response; detail: status
+    NO_ANSWER = "no_answer"  # client received no response; detail: reason
+    CALL = "call"  # endpoint received a complete call; amount: arrival time of its first byte
+    CALL_ANSWERED = (
+        "call_answered"  # endpoint sent a response; detail: status; amount: seconds to wait of a 429
+    )
+    CALL_CLOSED = (
+        "call_closed"  # call ended without a response; detail: side that closed, "forwarder" or "endpoint"
+    )
+    NOTIFIED = "notified"  # platform received a notification; detail: outcome
+    LISTED = "listed"  # discovery sent an endpoint's state to a forwarder; detail: state
+    PROCESS = "process"  # signal to a forwarder's process, or change of its state; detail: which
+    FAULT = "fault"  # detail: injected fault, or change of the endpoint list
+    BAD_CLIENT = "bad_client"  # end of an incomplete request; detail: status, "closed" or "unanswered"
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One event. ``at_s``: by the monotonic clock of the stand-ins."""
+    """One event; ``time_s`` is on the monotonic clock of the stand-ins' process."""
 
-    at_s: float
+    time_s: float
     kind: EventKind
     forwarder: str = ""
     message: str = ""
@@ -37,9 +41,9 @@
     amount: float = 0.0
 
     def format(self, started_s: float) -> str:
-        """Return the event as a line, with its time since the start of the run."""
-        words = [
-            f"{self.at_s - started_s:8.3f}",
+        """Return the event as a line of text, with its time relative to ``started_s``."""
+        columns = [
+            f"{self.time_s - started_s:8.3f}",
             self.kind.value,
             self.forwarder,
             self.message,
@@ -47,34 +51,34 @@
             self.detail,
         ]
         amount = f"amount={self.amount:.3f}" if self.amount else ""
-        return " ".join(word for word in [*words, amount] if word)
+        return " ".join(column for column in [*columns, amount] if column)
 
 
 @dataclass(frozen=True, slots=True)
-class RequestFacts:
-    """What the client of a message asked for."""
+class ClientRequest:
+    """A client's request: its message, class and destination, and the time left at ``sent_s``."""
 
     message: str
     forwarder: str
     class_name: str
     destination: int
     sent_s: float
-    left_s: float
+    time_left_s: float
     order_key: str = ""
 
     @property
     def deadline_s(self) -> float:
-        """When its time is up."""
-        return self.sent_s + self.left_s
+        """Time at which the message's deadline passes."""
+        return self.sent_s + self.time_left_s
 
 
 class History:
-    """The events of a run, in the order in which they happened."""
+    """Events of a run, in the order in which they were recorded, and its requests by message."""
 
     def __init__(self) -> None:
         self.started_s = time.monotonic()
         self.events: list[Event] = []
-        self.requests: dict[str, RequestFacts] = {}
+        self.requests: dict[str, ClientRequest] = {}
 
     def add(
         self,
@@ -84,35 +88,36 @@
         endpoint: str = "",
         detail: str = "",
         amount: float = 0.0,
-        at_s: float | None = None,
+        time_s: float | None = None,
     ) -> None:
-        """Append an event that happens now, or happened at ``at_s``."""
-        now_s = time.monotonic() if at_s is None else at_s
-        self.events.append(Event(now_s, kind, forwarder, message, endpoint, detail, amount))
+        """Append an event with the time ``time_s``, by default now."""
+        event_time_s = time.monotonic() if time_s is None else time_s
+        self.events.append(Event(event_time_s, kind, forwarder, message, endpoint, detail, amount))
 
     def by_message(self) -> dict[str, list[Event]]:
-        """Return the events of each message."""
-        found: dict[str, list[Event]] = defaultdict(list)
+        """Return the events grouped by message."""
+        events: dict[str, list[Event]] = defaultdict(list)
         for event in self.events:
             if event.message:
-                found[event.message].append(event)
-        return found
+                events[event.message].append(event)
+        return events
 
     def by_forwarder(self, kind: EventKind) -> dict[str, list[Event]]:
-        """Return the events of a kind, by forwarder."""
-        found: dict[str, list[Event]] = defaultdict(list)
+        """Return the events of one kind, grouped by forwarder."""
+        events: dict[str, list[Event]] = defaultdict(list)
         for event in self.events:
             if event.kind is kind:
-                found[event.forwarder].append(event)
-        return found
+                events[event.forwarder].append(event)
+        return events
 
     def story(self, message: str, forwarder: str = "") -> list[str]:
-        """Return all lines about a message, if one is named, and about the process that had it."""
-        facts = self.requests.get(message)
-        forwarder = facts.forwarder if facts else forwarder
-        own = (EventKind.PROCESS, EventKind.FAULT)
+        """Return the formatted events of a message, and the process events and faults of its forwarder."""
+        request = self.requests.get(message)
+        forwarder = request.forwarder if request else forwarder
+        process_kinds = (EventKind.PROCESS, EventKind.FAULT)
         return [
             event.format(self.started_s)
             for event in self.events
-            if (message and event.message == message) or (event.kind in own and event.forwarder == forwarder)
+            if (message and event.message == message)
+            or (event.kind in process_kinds and event.forwarder == forwarder)
         ]
--- a/honeybarrow/soak/link.py
+++ b/honeybarrow/soak/link.py
@@ -1,7 +1,7 @@
-"""The link between a forwarder and one of its peers: a connection whose bytes are held, slowed or cut.
+"""Network impairment between a forwarder and a stand-in: delays, stalls, slow sending and resets.
 
-Each connection of the stand-ins passes one. What it records are the bytes at the forwarder's socket: data
-counts as come when the system gave it, and as written when it was handed to the system.
+All connections of the stand-ins are subclasses of :class:`LinkConnection`. Recorded times are those at the
+operating system's socket: when it returned received data, and when it accepted data to send.
 """
 
 from __future__ import annotations
@@ -15,31 +15,31 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-HOLD_CHECK_S = 0.02  # between looks whether a silent link speaks again
+SILENT_POLL_INTERVAL_S = 0.02  # between checks whether a silent link has recovered
 TRICKLE_INTERVAL_S = 0.005
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 @dataclass(slots=True)
 class LinkCondition:
-    """How a link is just now; shared by its connections and changed while they are open."""
+    """Current impairments of a link, shared by all its connections; may change while they are open."""
 
     delay_s: float = 0.0
-    is_silent: bool = False  # nothing passes, either way, until it speaks again
-    trickle_bytes: int = 0  # at once, where the link trickles
-    reset_share: float = 0.0  # of the answers, in whose place the connection is reset
-    half_close_share: float = 0.0  # of the answers, behind which the sending side is closed
+    is_silent: bool = False  # no bytes pass in either direction
+    trickle_chunk_bytes: int = 0  # bytes per TRICKLE_INTERVAL_S; 0: unlimited
+    reset_probability: float = 0.0  # that a connection is reset instead of a response
+    half_close_probability: float = 0.0  # that the sender half-closes after a response
 
 
 @dataclass(slots=True)
-class _Outgoing:
+class _OutgoingData:
     data: bytes
     due_s: float
     on_written: Callable[[float], object] | None
 
 
 class LinkConnection(asyncio.Protocol):
-    """A peer's end of one connection; the peer's own protocol is a subclass."""
+    """Stand-in's end of one connection; subclasses implement the protocol."""
 
     def __init__(self, condition: LinkCondition) -> None:
         self.condition = condition
@@ -47,102 +47,105 @@
         self.is_lost = False
         self._loop = asyncio.get_running_loop()
         self._incoming: deque[tuple[bytes, float]] = deque()
-        self._outgoing: deque[_Outgoing] = deque()
-        self._is_pumping_in = self._is_pumping_out = False
+        self._outgoing: deque[_OutgoingData] = deque()
+        self._is_delivery_scheduled = self._is_flush_scheduled = False
 
-    # for the peer
+    # interface of subclasses
 
-    def on_arrival(self, data: bytes, arrived_s: float) -> None:
-        """Note bytes as the system gives them, before the link lets them pass."""
+    def on_data_received(self, data: bytes, arrived_s: float) -> None:
+        """Handle bytes when they arrive at the socket, before the link's impairments apply."""
 
-    def on_bytes(self, data: bytes, arrived_s: float) -> None:
-        """Handle bytes that the link has let pass; ``arrived_s``: when the system gave them."""
+    def on_data_delivered(self, data: bytes, arrived_s: float) -> None:
+        """Handle bytes that the link has delivered; ``arrived_s`` is their arrival time at the socket."""
 
-    def on_lost(self) -> None:
+    def on_connection_lost(self) -> None:
         """Handle the loss of the connection."""
 
     def send(self, data: bytes, on_written: Callable[[float], object] | None = None) -> None:
-        """Write, as the link lets it pass; ``on_written`` gets the time when the last byte was written."""
-        self._outgoing.append(_Outgoing(data, time.monotonic() + self.condition.delay_s, on_written))
-        if not self._is_pumping_out:
-            self._pump_out()
+        """Send data under the link's impairments.
+
+        ``on_written`` is called with the time at which the last byte was written to the socket.
+        """
+        self._outgoing.append(_OutgoingData(data, time.monotonic() + self.condition.delay_s, on_written))
+        if not self._is_flush_scheduled:
+            self._flush_outgoing()
 
     def reset(self) -> None:
-        """Break the connection."""
+        """Close the connection with a TCP reset."""
         if self.transport is not None and not self.is_lost:
-            own: socket.socket | None = self.transport.get_extra_info("socket")
-            if own is not None:
-                own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
+            sock: socket.socket | None = self.transport.get_extra_info("socket")
+            if sock is not None:
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
             self.transport.abort()
 
     def half_close(self) -> None:
-        """End sending, and go on reading."""
+        """Close the sending side and continue reading."""
         if self.transport is not None and not self.is_lost and self.transport.can_write_eof():
-            with contextlib.suppress(OSError):  # the forwarder may have closed it this very moment
+            with contextlib.suppress(OSError):  # the forwarder may have closed it concurrently
                 self.transport.write_eof()
 
     def close(self) -> None:
-        """Close."""
+        """Close the connection after the data already written."""
         if self.transport is not None:
             self.transport.close()
 
-    # asyncio
+    # asyncio callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Asyncio: the connection is up."""
+        """Store the transport and disable Nagle's algorithm."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        own: socket.socket | None = transport.get_extra_info("socket")
-        if own is not None:
-            own.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        sock: socket.socket | None = transport.get_extra_info("socket")
+        if sock is not None:
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def data_received(self, data: bytes) -> None:
-        """Asyncio: bytes came."""
+        """Queue received bytes for delivery by the link."""
         arrived_s = time.monotonic()
-        self.on_arrival(data, arrived_s)
+        self.on_data_received(data, arrived_s)
         self._incoming.append((data, arrived_s))
-        if not self._is_pumping_in:
-            self._pump_in()
+        if not self._is_delivery_scheduled:
+            self._deliver_incoming()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Asyncio: the connection is gone."""
+        """Mark the connection as lost and call :meth:`on_connection_lost`."""
         self.is_lost = True
-        self.on_lost()
+        self.on_connection_lost()
 
-    # the link
+    # impairments
 
-    def _pump_in(self) -> None:
-        self._is_pumping_in = False
+    def _deliver_incoming(self) -> None:
+        self._is_delivery_scheduled = False
         while self._incoming:
             data, arrived_s = self._incoming[0]
-            wait_s = self._wait_s(arrived_s + self.condition.delay_s)
+            wait_s = self._remaining_delay_s(arrived_s + self.condition.delay_s)
             if wait_s > 0:
-                self._is_pumping_in = True
-                self._loop.call_later(wait_s, self._pump_in)
+                self._is_delivery_scheduled = True
+                self._loop.call_later(wait_s, self._deliver_incoming)
                 return
             self._incoming.popleft()
-            self.on_bytes(data, arrived_s)
+            self.on_data_delivered(data, arrived_s)
 
-    def _pump_out(self) -> None:
-        self._is_pumping_out = False
+    def _flush_outgoing(self) -> None:
+        self._is_flush_scheduled = False
         while self._outgoing and self.transport is not None and not self.is_lost:
             head = self._outgoing[0]
-            wait_s = self._wait_s(head.due_s)
-            size = self.condition.trickle_bytes
+            wait_s = self._remaining_delay_s(head.due_s)
+            size = self.condition.trickle_chunk_bytes
             if wait_s <= 0 and size and len(head.data) > size:
                 self.transport.write(head.data[:size])
                 head.data = head.data[size:]
                 wait_s = TRICKLE_INTERVAL_S
             if wait_s > 0:
-                self._is_pumping_out = True
-                self._loop.call_later(wait_s, self._pump_out)
+                self._is_flush_scheduled = True
+                self._loop.call_later(wait_s, self._flush_outgoing)
                 return
             self._outgoing.popleft()
             self.transport.write(head.data)
             if head.on_written is not None:
                 head.on_written(time.monotonic())
 
-    def _wait_s(self, due_s: float) -> float:
+    def _remaining_delay_s(self, due_s: float) -> float:
         if self.condition.is_silent:
-            return HOLD_CHECK_S
+            return SILENT_POLL_INTERVAL_S
         return max(0.0, due_s - time.monotonic())
--- a/honeybarrow/soak/plan.py
+++ b/honeybarrow/soak/plan.py
@@ -1,4 +1,4 @@
-"""What happens in a soak run: faults, drawn from the seed, at times and places that overlap."""
+"""Fault plan of a soak run: faults of random kind, time and target, drawn from the run's seed."""
 
 from __future__ import annotations
 
@@ -13,75 +13,79 @@
 
 
 class FaultKind(enum.StrEnum):
-    """Kinds of faults."""
+    """Kinds of faults; the values are the choices of ``honeybarrow soak --kind``."""
 
-    TERMINATE = "terminate"  # SIGTERM, SIGKILL 3.7 s later, next start
+    TERMINATE = "terminate"  # SIGTERM, SIGKILL 3.7 s later, restart
     KILL = "kill"
-    RELOAD = "reload"  # SIGHUP, with another address of discovery
-    SIGNALS = "signals"  # several at once: SIGHUP, SIGSTOP with SIGCONT, SIGTERM
-    PAUSE = "pause"  # SIGSTOP with SIGCONT, up to 0.15 s, in series
+    RELOAD = "reload"  # SIGHUP with another discovery address
+    SIGNALS = "signals"  # SIGHUP, SIGSTOP with SIGCONT, and SIGTERM in close succession
+    PAUSE = "pause"  # repeated SIGSTOP with SIGCONT up to 0.15 s later
     CLOCK_STEP = "clock_step"
     CLOCK_STEP_AT_RESTART = "clock_step_at_restart"
     SYSTEM_CALL = "system_call"
-    FOLDER = "folder"
-    TORN_WRITE = "torn_write"  # a kill in the middle of a write
-    STALL = "stall"  # held up between a decision and a write
+    FOLDER = "folder"  # errors of file operations in the state folder
+    TORN_WRITE = "torn_write"  # kill in the middle of a file write
+    STALL = "stall"  # delays before sends and file writes
     ENDPOINT_MODE = "endpoint_mode"
     ENDPOINT_CRASH = "endpoint_crash"
-    ENDPOINT_VANISH = "endpoint_vanish"
-    OUTAGE = "outage"  # all endpoints of a destination refuse, and it comes back cold
-    LINK = "link"  # of one forwarder to all endpoints of a destination
+    ENDPOINT_VANISH = "endpoint_vanish"  # connects time out, open connections go silent
+    OUTAGE = "outage"  # all endpoints of a destination refuse connections, then recover together
+    LINK = "link"  # impaired links from one forwarder to all endpoints of a destination
     CLIENT_LINK = "client_link"
     DISCOVERY_DOWN = "discovery_down"
     DISCOVERY_LINK = "discovery_link"
-    REPLACE = "replace"  # an endpoint drains and goes, another comes in its place
-    CROWD = "crowd"
+    REPLACE = "replace"  # an endpoint is drained and removed, and another one added
+    CROWD = "crowd"  # more idle client connections than the forwarder has descriptors
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault. ``place``: a forwarder, an endpoint or nothing, by its kind; the rest says how bad it is."""
+    """One fault.
+
+    ``target`` names a forwarder, an endpoint or a destination, or is empty, depending on the kind, and so do
+    the meanings of ``amount``, ``probability`` and ``detail``.
+    """
 
     kind: FaultKind
     start_s: float
     duration_s: float
-    place: str = ""
+    target: str = ""
     amount: float = 0.0
-    share: float = 1.0
+    probability: float = 1.0
     detail: str = ""
     errnos: tuple[int, ...] = ()
 
     def format(self) -> str:
-        """Return the fault as a line."""
+        """Return the fault as a line of text."""
         errnos = ",".join(errno.errorcode[number] for number in self.errnos)
         parts = [
-            f"{self.start_s:6.2f} s", f"{self.duration_s:5.2f} s", self.kind.value, self.place, self.detail,
-            f"amount={self.amount:.3f}" if self.amount else "", f"share={self.share:.2f}", errnos,
+            f"{self.start_s:6.2f} s", f"{self.duration_s:5.2f} s", self.kind.value, self.target, self.detail,
+            f"amount={self.amount:.3f}" if self.amount else "", f"probability={self.probability:.2f}", errnos,
         ]  # fmt: skip
         return " ".join(part for part in parts if part)
 
 
 @dataclass(frozen=True, slots=True)
 class SoakSpec:
-    """How large and how bad a run is. ``load_s``: clients send for so long, and faults begin in it."""
+    """Size of a run, its load and its faults."""
 
     seed: int
     forwarders: int = 24
     destinations: int = 4
-    endpoints_each: int = 2
-    load_s: float = 20.0
-    rate_per_s: float = 6.0  # requests to each forwarder
+    endpoints_each: int = 2  # per destination
+    load_s: float = 20.0  # during which clients send requests and faults start
+    rate_per_s: float = 6.0  # requests per second to each forwarder
     faults: int = 60
-    descriptors: int = 256
+    descriptors: int = 256  # limit of open sockets of each forwarder
     kinds: tuple[FaultKind, ...] = tuple(FaultKind)
 
 
-_NO_DESCRIPTOR = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-# By system call: errors that Linux documents for it, those that come together in one fault.
+_EXHAUSTION_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+# Errors that Linux documents for each system call; each row is the set of errors of one fault.
 _SYSTEM_CALL_ERRORS: tuple[tuple[SystemCall, tuple[int, ...]], ...] = (
-    (SystemCall.ACCEPT, _NO_DESCRIPTOR),
+    (SystemCall.ACCEPT, _EXHAUSTION_ERRNOS),
     (SystemCall.ACCEPT, (errno.ECONNABORTED, errno.EPROTO, errno.EINTR, errno.ENETUNREACH)),
-    (SystemCall.SOCKET, _NO_DESCRIPTOR),
+    (SystemCall.SOCKET, _EXHAUSTION_ERRNOS),
     (SystemCall.CONNECT, (errno.EADDRNOTAVAIL, errno.EAGAIN, errno.ENOBUFS)),
     (SystemCall.CONNECT, (errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.EINTR)),
     (SystemCall.RECV, (errno.EINTR, errno.ENOMEM, errno.ENOBUFS)),
@@ -92,7 +96,7 @@
 _FOLDER_ERRNOS = (errno.ENOSPC, errno.EIO)
 _FOLDER_CALLS = (SystemCall.WRITE, SystemCall.WRITE, SystemCall.OPEN, SystemCall.UNLINK, SystemCall.TRUNCATE)
 _CLOCK_STEPS_S = (-3600.0, -20.0, -3.0, -0.6, 0.6, 3.0, 20.0, 3600.0)
-# How often each kind is drawn; all others once.
+# Relative frequency of each kind; 1.0 for kinds that are not listed.
 _WEIGHTS = {
     FaultKind.CLOCK_STEP: 2.0,
     FaultKind.SYSTEM_CALL: 3.0,
@@ -114,7 +118,7 @@
 
 
 def draw_faults(spec: SoakSpec, forwarders: Sequence[str], endpoints: Sequence[str]) -> list[Fault]:
-    """Return the faults of a run, by their start."""
+    """Return the faults of a run, sorted by start time."""
     rng = random.Random(spec.seed)
     weights = [_WEIGHTS.get(kind, 1.0) for kind in spec.kinds]
     kinds = rng.choices(spec.kinds, weights, k=spec.faults)
@@ -150,14 +154,16 @@
             return Fault(kind, start_s, 0.0, forwarder, rng.choice(_CLOCK_STEPS_S))
         case FaultKind.SYSTEM_CALL:
             call, errnos = rng.choice(_SYSTEM_CALL_ERRORS)
-            share, duration_s = rng.choice((0.05, 0.2, 0.5)), rng.uniform(0.3, 3.0)
-            return Fault(kind, start_s, duration_s, forwarder, call.value, share, call.name, errnos)
+            probability, duration_s = rng.choice((0.05, 0.2, 0.5)), rng.uniform(0.3, 3.0)
+            return Fault(kind, start_s, duration_s, forwarder, call.value, probability, call.name, errnos)
         case FaultKind.FOLDER:
-            call, share = rng.choice(_FOLDER_CALLS), rng.choice((0.3, 1.0))
+            call, probability = rng.choice(_FOLDER_CALLS), rng.choice((0.3, 1.0))
             duration_s = rng.uniform(0.5, 6.0)
-            return Fault(kind, start_s, duration_s, forwarder, call.value, share, call.name, _FOLDER_ERRNOS)
+            return Fault(
+                kind, start_s, duration_s, forwarder, call.value, probability, call.name, _FOLDER_ERRNOS
+            )
         case FaultKind.TORN_WRITE:
-            return Fault(kind, start_s, 1.0, forwarder, share=rng.uniform(0.05, 0.5))
+            return Fault(kind, start_s, 1.0, forwarder, probability=rng.uniform(0.05, 0.5))
         case FaultKind.STALL:
             return Fault(kind, start_s, rng.uniform(0.5, 3.0), forwarder, 0.15, rng.uniform(0.02, 0.2))
     return Fault(kind, start_s, 0.0, forwarder)
@@ -165,14 +171,14 @@
 
 def _draw_endpoint_fault(kind: FaultKind, start_s: float, endpoint: str, rng: random.Random) -> Fault:
     if kind is FaultKind.ENDPOINT_MODE:
-        mode = rng.choice([each for each in EndpointMode if each is not EndpointMode.SERVE])
-        share, duration_s = rng.choice((0.3, 1.0)), rng.uniform(0.5, 6.0)
-        return Fault(kind, start_s, duration_s, endpoint, rng.uniform(0.2, 1.5), share, mode)
+        mode = rng.choice([mode for mode in EndpointMode if mode is not EndpointMode.SERVE])
+        probability, duration_s = rng.choice((0.3, 1.0)), rng.uniform(0.5, 6.0)
+        return Fault(kind, start_s, duration_s, endpoint, rng.uniform(0.2, 1.5), probability, mode)
     return Fault(kind, start_s, rng.uniform(1.0, 6.0), endpoint)
 
 
 def _draw_link_fault(kind: FaultKind, start_s: float, forwarder: str, rng: random.Random) -> Fault:
-    how = rng.choice(("delay", "silent", "trickle", "reset", "half_close"))
+    impairment = rng.choice(("delay", "silent", "trickle", "reset", "half_close"))
     duration_s = rng.uniform(0.3, 4.0)
-    amount = {"delay": rng.uniform(0.02, 0.6), "trickle": 7.0}.get(how, 0.0)
-    return Fault(kind, start_s, duration_s, forwarder, amount, rng.choice((0.2, 0.6)), how)
+    amount = {"delay": rng.uniform(0.02, 0.6), "trickle": 7.0}.get(impairment, 0.0)
+    return Fault(kind, start_s, duration_s, forwarder, amount, rng.choice((0.2, 0.6)), impairment)
--- a/honeybarrow/soak/run.py
+++ b/honeybarrow/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak run: stand-ins in this process, forwarders as real ones, the faults of a plan, and the verdict."""
+"""One soak run: stand-ins in this process, real forwarder processes, injected faults and the rule check."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from typing import Any
 
 from honeybarrow.soak import settings
-from honeybarrow.soak.clients import ClientPool, IdleCrowd
+from honeybarrow.soak.clients import ClientPool, ConnectionFlood
 from honeybarrow.soak.discovery import StandInDiscovery
 from honeybarrow.soak.endpoints import EndpointMode, StandInEndpoint
 from honeybarrow.soak.fault_shim import FaultShim, SystemCall
@@ -23,20 +23,22 @@
 from honeybarrow.soak.history import EventKind, History
 from honeybarrow.soak.link import LinkCondition
 from honeybarrow.soak.plan import Fault, FaultKind, SoakSpec, draw_faults
-from honeybarrow.soak.rules import Judge, SoakRule, SoakViolation
+from honeybarrow.soak.rules import RuleChecker, SoakRule, SoakViolation
 
-SETTLE_S = max(each.deadline_s for each in settings.CLASSES) + 2.0  # after the load, for the last results
-MAX_START_BATCH = 8  # processes that start at once, so that the machine is not the fault
-LEAVE_DELAY_S = 1.5  # from an endpoint's drain to its removal
+SETTLE_S = (
+    max(each.deadline_s for each in settings.CLASSES) + 2.0
+)  # after the load, until all deadlines have passed
+MAX_START_BATCH = 8  # processes started concurrently, so that starts do not overload the machine
+LEAVE_DELAY_S = 1.5  # from the drain of an endpoint to its removal
 WATCHDOG_INTERVAL_S = 0.2
-HALF_REQUEST_INTERVAL_S = 2.0
-SHUTDOWN_BATCH = 12
-_FAILURE_WORDS = ("Traceback (most recent", "reactor_failure", "policy_failed", "call_crashed")
+PARTIAL_REQUEST_INTERVAL_S = 2.0
+SHUTDOWN_BATCH = 12  # processes stopped concurrently
+_FAILURE_MARKERS = ("Traceback (most recent", "reactor_failure", "policy_failed", "call_crashed")
 
 
 @dataclass(slots=True)
 class SoakResult:
-    """The verdict on one run, and its figures."""
+    """Result of one run: violations, faults, history and totals."""
 
     seed: int
     violations: list[SoakViolation]
@@ -44,20 +46,21 @@
     history: History
     counts: Counter[str] = field(default_factory=Counter)
     guard_violations: list[str] = field(default_factory=list)
-    processor_s: float = 0.0
-    max_lateness_s: float = 0.0  # of the stand-ins' own loop
+    cpu_s: float = 0.0  # CPU time of the forwarders
+    max_lateness_s: float = 0.0  # largest timer delay of the stand-ins' event loop
 
     @property
     def has_passed(self) -> bool:
-        """Whether no rule was broken and the guard refused nothing unexpected."""
+        """Whether no rule was broken and the guard reported no violation."""
         return not self.violations and not self.guard_violations
 
 
 class SoakRun:
-    """One run in a folder of its own.
+    """One run, with its files in ``folder``.
 
-    ``library``: the fault shim, ``None`` where there is no compiler; ``faults``: in place of drawn ones;
-    ``source``: another checkout whose forwarder is to be played.
+    :param library: Path of the fault shim; ``None`` leaves out the faults that need it.
+    :param faults: Faults to inject instead of random ones.
+    :param source: Checkout from which to run the forwarders; ``None`` for the installed package.
     """
 
     def __init__(
@@ -69,35 +72,35 @@
         source: Path | None = None,
     ) -> None:
         self.spec, self.folder, self.library, self.source = spec, folder, library, source
-        self._given_faults = faults
+        self._fixed_faults = faults
         self.history = History()
         self.rng = random.Random(spec.seed ^ 0x5EED)
-        self.host = _own_loopback_address()
+        self.host = _unique_loopback_address()
         self.discovery = StandInDiscovery(self.host, self.history)
         self.endpoints: dict[str, StandInEndpoint] = {}
         self.forwarders: dict[str, ForwarderUnderTest] = {}
         self.clients: dict[str, ClientPool] = {}
         self.shims: dict[str, FaultShim] = {}
-        self._crowds: list[IdleCrowd] = []
+        self._connection_floods: list[ConnectionFlood] = []
         self._tasks: list[asyncio.Task[None]] = []
         self._endpoint_count = 0
         self._max_lateness_s = 0.0
         self._load_started_s = 0.0
 
-    async def play(self) -> SoakResult:
-        """Play the run to its end."""
+    async def execute(self) -> SoakResult:
+        """Run the forwarders under load and faults, check the rules and return the result."""
         _raise_descriptor_limit()
         try:
             await self._set_up()
             faults = self._choose_faults()
-            await self._load(faults)
-            await self._settle()
+            await self._run_load(faults)
+            await self._wait_for_results()
             await self._stop_forwarders()
-            return self._judge(faults)
+            return self._check_rules(faults)
         finally:
             self._tear_down()
 
-    # set up
+    # setup
 
     async def _set_up(self) -> None:
         names = [f"f{number:02d}" for number in range(self.spec.forwarders)]
@@ -146,39 +149,39 @@
         )
 
     def _choose_faults(self) -> list[Fault]:
-        if self._given_faults is not None:
-            return list(self._given_faults)
+        if self._fixed_faults is not None:
+            return list(self._fixed_faults)
         faults = draw_faults(self.spec, list(self.forwarders), list(self.endpoints))
         if self.library is None:
-            faults = [fault for fault in faults if fault.kind not in _SHIM_KINDS]
+            faults = [fault for fault in faults if fault.kind not in _KINDS_NEEDING_SHIM]
         return faults
 
     # load
 
-    async def _load(self, faults: Sequence[Fault]) -> None:
+    async def _run_load(self, faults: Sequence[Fault]) -> None:
         self._load_started_s = time.monotonic()
         until_s = self._load_started_s + self.spec.load_s
         for name, pool in self.clients.items():
-            self._start(pool.run(until_s))
-            self._start(self._send_half_requests(pool, until_s))
-            self._start(self._restart_the_dead(self.forwarders[name]))
-        self._start(self._measure_lateness())
+            self._start_task(pool.run(until_s))
+            self._start_task(self._send_partial_requests(pool, until_s))
+            self._start_task(self._restart_exited_process(self.forwarders[name]))
+        self._start_task(self._measure_lateness())
         for fault in faults:
-            self._start(self._inject_at(fault))
+            self._start_task(self._inject_when_due(fault))
         await asyncio.sleep(self.spec.load_s)
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         self._tasks.append(asyncio.create_task(work))
 
-    async def _send_half_requests(self, pool: ClientPool, until_s: float) -> None:
+    async def _send_partial_requests(self, pool: ClientPool, until_s: float) -> None:
         while time.monotonic() < until_s:
-            await asyncio.sleep(HALF_REQUEST_INTERVAL_S * (1 + self.rng.random()))
-            await pool.send_half_request()
+            await asyncio.sleep(PARTIAL_REQUEST_INTERVAL_S * (1 + self.rng.random()))
+            await pool.send_partial_request()
 
-    async def _restart_the_dead(self, forwarder: ForwarderUnderTest) -> None:
+    async def _restart_exited_process(self, forwarder: ForwarderUnderTest) -> None:
         while True:
             await asyncio.sleep(WATCHDOG_INTERVAL_S)
-            await forwarder.restart_if_dead()
+            await forwarder.restart_if_exited()
 
     async def _measure_lateness(self) -> None:
         while True:
@@ -186,9 +189,9 @@
             await asyncio.sleep(0.05)
             self._max_lateness_s = max(self._max_lateness_s, time.monotonic() - due_s)
 
-    async def _inject_at(self, fault: Fault) -> None:
+    async def _inject_when_due(self, fault: Fault) -> None:
         await asyncio.sleep(max(0.0, self._load_started_s + fault.start_s - time.monotonic()))
-        forwarder = fault.place if fault.place in self.forwarders else ""
+        forwarder = fault.target if fault.target in self.forwarders else ""
         self.history.add(EventKind.FAULT, forwarder, detail=fault.format())
         await self._inject(fault)
 
@@ -201,44 +204,44 @@
             FaultKind.PAUSE: self._pause,
             FaultKind.CLOCK_STEP: self._step_clock,
             FaultKind.CLOCK_STEP_AT_RESTART: self._step_clock_at_restart,
-            FaultKind.SYSTEM_CALL: self._fail_calls,
-            FaultKind.FOLDER: self._fail_calls,
+            FaultKind.SYSTEM_CALL: self._fail_system_calls,
+            FaultKind.FOLDER: self._fail_system_calls,
             FaultKind.TORN_WRITE: self._tear_write,
             FaultKind.STALL: self._stall,
             FaultKind.ENDPOINT_MODE: self._set_mode,
             FaultKind.ENDPOINT_CRASH: self._crash_endpoint,
-            FaultKind.ENDPOINT_VANISH: self._vanish_endpoint,
+            FaultKind.ENDPOINT_VANISH: self._make_endpoint_unreachable,
             FaultKind.OUTAGE: self._fail_destination,
-            FaultKind.LINK: self._disturb_endpoint_links,
-            FaultKind.CLIENT_LINK: self._disturb_client_link,
+            FaultKind.LINK: self._impair_endpoint_links,
+            FaultKind.CLIENT_LINK: self._impair_client_link,
             FaultKind.DISCOVERY_DOWN: self._stop_discovery,
-            FaultKind.DISCOVERY_LINK: self._disturb_discovery_link,
+            FaultKind.DISCOVERY_LINK: self._impair_discovery_link,
             FaultKind.REPLACE: self._replace_endpoint,
-            FaultKind.CROWD: self._crowd,
+            FaultKind.CROWD: self._flood_connections,
         }
         await handlers[fault.kind](fault)
 
     # faults of processes
 
     async def _terminate(self, fault: Fault) -> None:
-        forwarder = self.forwarders[fault.place]
-        if not forwarder.is_ending:
+        forwarder = self.forwarders[fault.target]
+        if not forwarder.is_stopping:
             await forwarder.terminate_and_restart()
 
     async def _kill(self, fault: Fault) -> None:
-        forwarder = self.forwarders[fault.place]
-        if not forwarder.is_ending:
+        forwarder = self.forwarders[fault.target]
+        if not forwarder.is_stopping:
             await forwarder.kill_and_restart()
 
     async def _reload(self, fault: Fault) -> None:
-        self.forwarders[fault.place].reload()
+        self.forwarders[fault.target].reload()
 
     async def _send_signals(self, fault: Fault) -> None:
-        forwarder = self.forwarders[fault.place]
+        forwarder = self.forwarders[fault.target]
         forwarder.reload()
         await forwarder.pause(0.1)
         forwarder.reload()
-        if not forwarder.is_ending:
+        if not forwarder.is_stopping:
             restart = asyncio.create_task(forwarder.terminate_and_restart())
             await asyncio.sleep(0.05)
             forwarder.reload()
@@ -248,88 +251,90 @@
     async def _pause(self, fault: Fault) -> None:
         until_s = time.monotonic() + fault.duration_s
         while time.monotonic() < until_s:
-            await self.forwarders[fault.place].pause(fault.amount)
+            await self.forwarders[fault.target].pause(fault.amount)
             await asyncio.sleep(0.2)
 
     async def _step_clock(self, fault: Fault) -> None:
-        self.shims[fault.place].step_wall_clock(fault.amount)
+        self.shims[fault.target].step_wall_clock(fault.amount)
 
     async def _step_clock_at_restart(self, fault: Fault) -> None:
-        forwarder = self.forwarders[fault.place]
-        if not forwarder.is_ending:
+        forwarder = self.forwarders[fault.target]
+        if not forwarder.is_stopping:
             await forwarder.kill_and_restart(fault.amount)
 
-    async def _fail_calls(self, fault: Fault) -> None:
+    async def _fail_system_calls(self, fault: Fault) -> None:
         call = SystemCall(int(fault.amount))
-        self.shims[fault.place].fail(call, fault.errnos, fault.share, fault.duration_s, fault.share / 4)
+        self.shims[fault.target].fail(
+            call, fault.errnos, fault.probability, fault.duration_s, fault.probability / 4
+        )
 
     async def _tear_write(self, fault: Fault) -> None:
-        shim = self.shims[fault.place]
-        shim.fail(SystemCall.WRITE, seconds=fault.duration_s, kill_share=fault.share)
+        shim = self.shims[fault.target]
+        shim.fail(SystemCall.WRITE, seconds=fault.duration_s, kill_share=fault.probability)
         await asyncio.sleep(fault.duration_s)
         shim.recover(SystemCall.WRITE)
 
     async def _stall(self, fault: Fault) -> None:
-        self.shims[fault.place].stall(fault.amount, fault.share, fault.duration_s)
+        self.shims[fault.target].stall(fault.amount, fault.probability, fault.duration_s)
 
     # faults of endpoints and links
 
     async def _set_mode(self, fault: Fault) -> None:
-        endpoint = self.endpoints[fault.place]
-        endpoint.mode, endpoint.mode_share = EndpointMode(fault.detail), fault.share
-        endpoint.wait_s = fault.amount
+        endpoint = self.endpoints[fault.target]
+        endpoint.mode, endpoint.mode_probability = EndpointMode(fault.detail), fault.probability
+        endpoint.retry_after_s = fault.amount
         await asyncio.sleep(fault.duration_s)
-        endpoint.mode, endpoint.mode_share = EndpointMode.SERVE, 1.0
+        endpoint.mode, endpoint.mode_probability = EndpointMode.SERVE, 1.0
 
     async def _crash_endpoint(self, fault: Fault) -> None:
-        endpoint = self.endpoints[fault.place]
+        endpoint = self.endpoints[fault.target]
         endpoint.crash()
         await asyncio.sleep(fault.duration_s)
         await endpoint.recover()
 
-    async def _vanish_endpoint(self, fault: Fault) -> None:
-        endpoint = self.endpoints[fault.place]
-        endpoint.vanish()
+    async def _make_endpoint_unreachable(self, fault: Fault) -> None:
+        endpoint = self.endpoints[fault.target]
+        endpoint.become_unreachable()
         await asyncio.sleep(fault.duration_s)
         await endpoint.recover()
 
     async def _fail_destination(self, fault: Fault) -> None:
-        own = [each for each in self.endpoints.values() if each.destination == int(fault.place)]
-        for endpoint in own:
+        endpoints = [each for each in self.endpoints.values() if each.destination == int(fault.target)]
+        for endpoint in endpoints:
             endpoint.crash()
         await asyncio.sleep(fault.duration_s)
-        for endpoint in own:
+        for endpoint in endpoints:
             await endpoint.recover()
 
-    async def _disturb_endpoint_links(self, fault: Fault) -> None:
+    async def _impair_endpoint_links(self, fault: Fault) -> None:
         destination = self.rng.randrange(1, self.spec.destinations + 1)
         links = [
-            endpoint.links[fault.place]
+            endpoint.links[fault.target]
             for endpoint in self.endpoints.values()
             if endpoint.destination == destination
         ]
-        await self._disturb(fault, links)
+        await self._impair(fault, links)
 
-    async def _disturb_client_link(self, fault: Fault) -> None:
-        await self._disturb(fault, [self.clients[fault.place].condition])
+    async def _impair_client_link(self, fault: Fault) -> None:
+        await self._impair(fault, [self.clients[fault.target].condition])
 
-    async def _disturb_discovery_link(self, fault: Fault) -> None:
-        await self._disturb(fault, [self.discovery.links[fault.place]])
+    async def _impair_discovery_link(self, fault: Fault) -> None:
+        await self._impair(fault, [self.discovery.links[fault.target]])
 
-    async def _disturb(self, fault: Fault, links: Sequence[LinkCondition]) -> None:
+    async def _impair(self, fault: Fault, links: Sequence[LinkCondition]) -> None:
         _set_condition(links, fault)
         await asyncio.sleep(fault.duration_s)
         for link in links:
-            link.delay_s, link.is_silent, link.trickle_bytes = 0.0, False, 0
-            link.reset_share = link.half_close_share = 0.0
+            link.delay_s, link.is_silent, link.trickle_chunk_bytes = 0.0, False, 0
+            link.reset_probability = link.half_close_probability = 0.0
 
     async def _stop_discovery(self, fault: Fault) -> None:
         self.discovery.go_down()
         await asyncio.sleep(fault.duration_s)
-        self.discovery.come_up()
+        self.discovery.come_back()
 
     async def _replace_endpoint(self, fault: Fault) -> None:
-        leaving = self.endpoints[fault.place]
+        leaving = self.endpoints[fault.target]
         if leaving.name not in self.discovery.statuses:
             return
         await self._add_endpoint(leaving.destination, list(self.forwarders))
@@ -337,23 +342,23 @@
         await asyncio.sleep(LEAVE_DELAY_S)
         self.discovery.set_status(leaving, "left")
 
-    async def _crowd(self, fault: Fault) -> None:
-        crowd = IdleCrowd(self.forwarders[fault.place].address, int(fault.amount), self.rng)
-        self._crowds.append(crowd)
-        await crowd.run(fault.duration_s)
+    async def _flood_connections(self, fault: Fault) -> None:
+        flood = ConnectionFlood(self.forwarders[fault.target].address, int(fault.amount), self.rng)
+        self._connection_floods.append(flood)
+        await flood.run(fault.duration_s)
         await asyncio.sleep(fault.duration_s)
-        crowd.close()
+        flood.close()
 
-    # end
+    # shutdown
 
-    async def _settle(self) -> None:
-        """End all faults and wait until every message's time is up."""
+    async def _wait_for_results(self) -> None:
+        """End the faults of the shims and wait until all deadlines have passed and restarts have ended."""
         for shim in self.shims.values():
             shim.recover()
         await asyncio.sleep(SETTLE_S)
         until_s = time.monotonic() + 10.0
-        while any(each.is_ending for each in self.forwarders.values()) and time.monotonic() < until_s:
-            await asyncio.sleep(0.1)  # a restart that began late
+        while any(each.is_stopping for each in self.forwarders.values()) and time.monotonic() < until_s:
+            await asyncio.sleep(0.1)  # a restart is still in progress
 
     async def _stop_forwarders(self) -> None:
         for task in self._tasks:
@@ -367,31 +372,31 @@
                     detail = f"exited {status} at the end"
                     self.history.add(EventKind.PROCESS, forwarder.name, detail=detail)
 
-    def _judge(self, faults: list[Fault]) -> SoakResult:
+    def _check_rules(self, faults: list[Fault]) -> SoakResult:
         destinations = {name: endpoint.destination for name, endpoint in self.endpoints.items()}
-        judge = Judge(self.history, faults, self._load_started_s, destinations)
-        violations = judge.judge()
+        checker = RuleChecker(self.history, faults, self._load_started_s, destinations)
+        violations = checker.check()
         guard_violations = []
         for forwarder in self.forwarders.values():
-            own = forwarder.guard_violations()
-            guard_violations += [f"{forwarder.name}: {line}" for line in own]
-            if own:
-                violations.append(SoakViolation(SoakRule.GUARD, "", forwarder.name, own[0]))
+            logged = forwarder.guard_violations()
+            guard_violations += [f"{forwarder.name}: {line}" for line in logged]
+            if logged:
+                violations.append(SoakViolation(SoakRule.GUARD, "", forwarder.name, logged[0]))
             text = forwarder.log_text()
-            for word in _FAILURE_WORDS:
-                if word in text:
-                    line = next(each for each in text.splitlines() if word in each)
+            for marker in _FAILURE_MARKERS:
+                if marker in text:
+                    line = next(each for each in text.splitlines() if marker in each)
                     violations.append(SoakViolation(SoakRule.CRASH, "", forwarder.name, line[:200]))
         return SoakResult(
-            self.spec.seed, violations, faults, self.history, _count(judge), guard_violations,
-            sum(each.processor_s for each in self.forwarders.values()), self._max_lateness_s,
+            self.spec.seed, violations, faults, self.history, _count_messages(checker), guard_violations,
+            sum(each.cpu_s for each in self.forwarders.values()), self._max_lateness_s,
         )  # fmt: skip
 
     def _tear_down(self) -> None:
         for task in self._tasks:
             task.cancel()
-        for crowd in self._crowds:
-            crowd.close()
+        for flood in self._connection_floods:
+            flood.close()
         for pool in self.clients.values():
             pool.close()
         for forwarder in self.forwarders.values():
@@ -401,7 +406,7 @@
         self.discovery.close()
 
 
-_SHIM_KINDS = frozenset(
+_KINDS_NEEDING_SHIM = frozenset(
     (
         FaultKind.CLOCK_STEP, FaultKind.CLOCK_STEP_AT_RESTART, FaultKind.SYSTEM_CALL, FaultKind.FOLDER,
         FaultKind.TORN_WRITE, FaultKind.STALL,
@@ -417,37 +422,37 @@
             case "silent":
                 link.is_silent = True
             case "trickle":
-                link.trickle_bytes = int(fault.amount)
+                link.trickle_chunk_bytes = int(fault.amount)
             case "reset":
-                link.reset_share = fault.share
+                link.reset_probability = fault.probability
             case "half_close":
-                link.half_close_share = fault.share
+                link.half_close_probability = fault.probability
 
 
-def _count(judge: Judge) -> Counter[str]:
+def _count_messages(checker: RuleChecker) -> Counter[str]:
     counts: Counter[str] = Counter()
-    for message in judge.messages.values():
+    for message in checker.messages.values():
         counts["requests"] += 1
         counts["accepted"] += message.accepted_s is not None
         counts["calls"] += len(message.calls)
         if message.accepted_s is not None:
             counts["delivered"] += message.delivered_s <= message.ended_s < float("inf")
-            counts["notified"] += bool(message.notified)
+            counts["notified"] += bool(message.notifications)
     return counts
 
 
-def _own_loopback_address() -> str:
-    """Return an address that no other run uses.
+def _unique_loopback_address() -> str:
+    """Return a loopback address that depends on the process id.
 
-    Danger: on a shared one, another run or any outgoing connection may take the port of a forwarder that is
-    just being restarted.
+    On a shared address, another run or an outgoing connection could take the port of a forwarder while it
+    restarts.
     """
-    number = os.getpid()
-    return f"127.{64 + number // 256 % 64}.{number % 256}.1"
+    process_id = os.getpid()
+    return f"127.{64 + process_id // 256 % 64}.{process_id % 256}.1"
 
 
 def _raise_descriptor_limit() -> None:
-    """Use as many descriptors as this process is allowed: each link has a listener."""
+    """Raise the descriptor limit to the hard limit; each link needs a listener."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < hard:
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
@@ -460,5 +465,5 @@
     faults: Sequence[Fault] | None = None,
     source: Path | None = None,
 ) -> SoakResult:
-    """Play one run in an event loop of its own."""
-    return asyncio.run(SoakRun(spec, folder, library, faults, source).play())
+    """Execute one run in a new event loop and return its result."""
+    return asyncio.run(SoakRun(spec, folder, library, faults, source).execute())
--- a/honeybarrow/soak/settings.py
+++ b/honeybarrow/soak/settings.py
@@ -1,4 +1,4 @@
-"""The settings under which the forwarders of a soak run stand, and their figures for the judge."""
+"""Message classes and settings of the forwarders in a soak run, shared with the rule checker."""
 
 from __future__ import annotations
 
@@ -6,39 +6,39 @@
 from typing import Any
 
 DRAIN_GRACE_S = 1.0
-KEY_REST_S = 0.1
+ORDER_KEY_PAUSE_S = 0.1  # after an ambiguous call, before the next call of the same order key
 CALL_SLOTS = 12
 MAX_OPEN = 120
-CAPACITY_PER_S = 80.0  # of each destination, all forwarders together
-COLLAPSE_MULTIPLE = 2.0
-COLLAPSE_WINDOW_S = 2.0
-START_CAPACITY = 0.25
-WARM_UP_S = 8.0
+CAPACITY_PER_S = 80.0  # of each destination, for all forwarders together
+COLLAPSE_MULTIPLE = 2.0  # load at which a destination collapses, as a multiple of its capacity
+COLLAPSE_WINDOW_S = 2.0  # over which the load is averaged
+START_CAPACITY = 0.25  # fraction of the capacity right after an outage
+WARM_UP_S = 8.0  # from START_CAPACITY to full capacity
 
 
 @dataclass(frozen=True, slots=True)
 class SoakClass:
-    """A message class, with the part of the requests that it gets."""
+    """A message class and its share of the traffic."""
 
     name: str
-    idempotency: str  # in the settings' words
+    idempotency: str  # "free", "guarded" or "single_shot"
     deadline_s: float
-    window_s: float = 0.0
+    window_s: float = 0.0  # idempotency window of "guarded"
     is_ordered: bool = False
-    share: float = 0.25
+    traffic_share: float = 0.25
 
 
 CLASSES = (
-    SoakClass("note", "free", 3.0, share=0.3),
-    SoakClass("post", "guarded", 5.0, window_s=1.5, share=0.25),
-    SoakClass("pay", "single_shot", 5.0, share=0.25),
-    SoakClass("step", "free", 4.0, is_ordered=True, share=0.2),
+    SoakClass("note", "free", 3.0, traffic_share=0.3),
+    SoakClass("post", "guarded", 5.0, window_s=1.5, traffic_share=0.25),
+    SoakClass("pay", "single_shot", 5.0, traffic_share=0.25),
+    SoakClass("step", "free", 4.0, is_ordered=True, traffic_share=0.2),
 )
-CLASS_BY_NAME = {each.name: each for each in CLASSES}
+CLASS_BY_NAME = {message_class.name: message_class for message_class in CLASSES}
 
 
 def wire_settings(forwarders: int) -> dict[str, Any]:
-    """Return the settings object of the platform's configuration."""
+    """Return the ``settings`` object of the configuration file for a fleet of ``forwarders``."""
     services = [
         {
             "name": each.name,
@@ -61,7 +61,7 @@
         "weightSource": "nominal",
         "guarantees": {
             "drainGraceUs": int(DRAIN_GRACE_S * 1e6),
-            "settleAfterDoubtUs": int(KEY_REST_S * 1e6),
+            "settleAfterDoubtUs": int(ORDER_KEY_PAUSE_S * 1e6),
             "fallMultiple": COLLAPSE_MULTIPLE,
             "fallUs": int(COLLAPSE_WINDOW_S * 1e6),
             "startCapacity": START_CAPACITY,
