--- a/benchmarks/soak_mutants.py
+++ b/benchmarks/soak_mutants.py
@@ -63,12 +63,12 @@
 
 
 GUARD_FILE = "message_guard.py"
-NO_REPEAT_GUARD = (
+REMOVE_REPEAT_GUARD = (
     GUARD_FILE,
     "        spec = tracked.message_class\n        if tracked.ambiguous",
     "        return None\n        spec = tracked.message_class\n        if tracked.ambiguous",
 )
-NO_ENDPOINT_GUARD = (
+REMOVE_ENDPOINT_GUARD = (
     GUARD_FILE,
     "        endpoint = self._endpoints.get(target)\n        if endpoint is None or not",
     "        return None\n        endpoint = self._endpoints.get(target)\n        if endpoint is None or not",
@@ -172,12 +172,12 @@
             "            if endpoint.state is EndpointState.READY:",
             "            if True:",
         ),
-        NO_ENDPOINT_GUARD,
+        REMOVE_ENDPOINT_GUARD,
     ),
     "Retry-After is ignored": _mutant(
         (FaultKind.ENDPOINT_MODE,),
         ("policy/lifecycle.py", "state.now + event.retry_after_us", "state.now"),
-        NO_ENDPOINT_GUARD,
+        REMOVE_ENDPOINT_GUARD,
     ),
     "an attempt in flight at a kill is forgotten": _mutant(
         (FaultKind.KILL, *ENDPOINT_FAULTS),
@@ -236,7 +236,7 @@
     "non-idempotent messages are repeated": _mutant(
         ENDPOINT_FAULTS,
         ("policy/backoff.py", "        return -1\n", "        return latest\n"),
-        NO_REPEAT_GUARD,
+        REMOVE_REPEAT_GUARD,
     ),
     "concurrent attempts that only the guard prevents": _mutant(
         ENDPOINT_FAULTS,
--- a/honeybarrow/soak/discovery.py
+++ b/honeybarrow/soak/discovery.py
@@ -65,7 +65,7 @@
         self.statuses: dict[str, ListChange] = {}
         self.is_down = False
         self.links: dict[str, LinkCondition] = {}
-        self.addresses: dict[str, list[str]] = {}  # two by forwarder
+        self.addresses: dict[str, list[str]] = {}  # two for each forwarder
         self.watches: dict[_DiscoveryConnection, None] = {}
         self._servers: list[asyncio.Server] = []
         self._heartbeat: asyncio.TimerHandle | None = None
--- a/honeybarrow/soak/fault_shim.c
+++ b/honeybarrow/soak/fault_shim.c
@@ -96,6 +96,7 @@
     return (uint32_t)(random_state >> 32);
 }
 
+/* Returns 1 with a probability of per_million / 1000000, else 0. */
 static int draw(uint32_t per_million) { return per_million && next_random() % MILLION < per_million; }
 
 static struct rule *active_rule(enum system_call call)
@@ -330,14 +331,16 @@
 
 int fdatasync(int descriptor)
 {
-    return is_folder_file(descriptor) && inject_error(CALL_FSYNC) ? -1
-                                                                  : (int)syscall(SYS_fdatasync, descriptor);
+    return is_folder_file(descriptor) && inject_error(CALL_FSYNC)
+        ? -1
+        : (int)syscall(SYS_fdatasync, descriptor);
 }
 
 int ftruncate(int descriptor, off_t size)
 {
-    return is_folder_file(descriptor) && inject_error(CALL_TRUNCATE) ? -1
-                                                                     : (int)syscall(SYS_ftruncate, descriptor, size);
+    return is_folder_file(descriptor) && inject_error(CALL_TRUNCATE)
+        ? -1
+        : (int)syscall(SYS_ftruncate, descriptor, size);
 }
 
 int ftruncate64(int descriptor, off64_t size) { return ftruncate(descriptor, size); }
--- a/honeybarrow/soak/forwarder_process.py
+++ b/honeybarrow/soak/forwarder_process.py
@@ -19,10 +19,10 @@
 from honeybarrow.soak.fault_shim import FaultShim
 from honeybarrow.soak.history import EventKind, History
 
-KILL_DELAY_S = 3.7  # from SIGTERM to SIGKILL
+KILL_DELAY_S = 3.7  # from SIGTERM to SIGKILL, as on the platform
 RESTART_DELAY_S = 0.6  # from the end of a process to its next start
 READY_TIMEOUT_S = 30.0
-READY_CHECK_S = 0.05
+READY_POLL_INTERVAL_S = 0.05
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 STRICT_GUARD_VARIABLE = "HONEYBARROW_STRICT_GUARD"
 _VIOLATION = re.compile(r"guard_violation \{.*\}")
@@ -51,8 +51,8 @@
         self.name, self.folder, self.settings = name, folder, settings
         self.discovery, self.history, self.shim, self.descriptors = discovery, history, shim, descriptors
         self.source = source
-        self.state = folder / "state"
-        self.state.mkdir(parents=True, exist_ok=True)
+        self.state_folder = folder / "state"
+        self.state_folder.mkdir(parents=True, exist_ok=True)
         self.address = (discovery.host, port)
         self.discovery_index = 0  # index into its two discovery addresses
         self.process: subprocess.Popen[bytes] | None = None
@@ -80,7 +80,7 @@
         environment = {
             **os.environ,
             "ROUTER_CONFIG": str(self.folder / "config.json"),
-            "ROUTER_STATE": str(self.state),
+            "ROUTER_STATE": str(self.state_folder),
             STRICT_GUARD_VARIABLE: "",
             **(self.shim.environment() if self.shim else {}),
         }
@@ -96,7 +96,7 @@
         self.history.add(EventKind.PROCESS, self.name, detail="started")
         started_s = time.monotonic()
         while time.monotonic() - started_s < READY_TIMEOUT_S:
-            await asyncio.sleep(READY_CHECK_S)
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
             if self.process.poll() is not None:
                 return
             if await self._is_ready():
@@ -138,7 +138,7 @@
         await self._restart(wall_step_s)
 
     async def restart_if_exited(self) -> None:
-        """Start the next process if the last one has exited without a signal of this class."""
+        """Start the next process if the last one has exited on its own."""
         if self.process is not None and self.process.poll() is not None and not self.is_stopping:
             self.is_stopping = True
             self.history.add(EventKind.PROCESS, self.name, detail=f"exited {self.process.returncode}")
--- a/honeybarrow/soak/history.py
+++ b/honeybarrow/soak/history.py
@@ -15,12 +15,8 @@
     ANSWER = "answer"  # client received the response; detail: status
     NO_ANSWER = "no_answer"  # client received no response; detail: reason
     CALL = "call"  # endpoint received a complete call; amount: arrival time of its first byte
-    CALL_ANSWERED = (
-        "call_answered"  # endpoint sent a response; detail: status; amount: seconds to wait of a 429
-    )
-    CALL_CLOSED = (
-        "call_closed"  # call ended without a response; detail: side that closed, "forwarder" or "endpoint"
-    )
+    CALL_ANSWERED = "call_answered"  # endpoint sent a response; detail: status; amount: wait of a 429
+    CALL_CLOSED = "call_closed"  # call ended without a response; detail: "forwarder" or "endpoint" closed
     NOTIFIED = "notified"  # platform received a notification; detail: outcome
     LISTED = "listed"  # discovery sent an endpoint's state to a forwarder; detail: state
     PROCESS = "process"  # signal to a forwarder's process, or change of its state; detail: which
--- a/honeybarrow/soak/plan.py
+++ b/honeybarrow/soak/plan.py
@@ -20,19 +20,19 @@
     RELOAD = "reload"  # SIGHUP with another discovery address
     SIGNALS = "signals"  # SIGHUP, SIGSTOP with SIGCONT, and SIGTERM in close succession
     PAUSE = "pause"  # repeated SIGSTOP with SIGCONT up to 0.15 s later
-    CLOCK_STEP = "clock_step"
+    CLOCK_STEP = "clock_step"  # step of the wall clock
     CLOCK_STEP_AT_RESTART = "clock_step_at_restart"
-    SYSTEM_CALL = "system_call"
+    SYSTEM_CALL = "system_call"  # errors of socket and epoll calls
     FOLDER = "folder"  # errors of file operations in the state folder
     TORN_WRITE = "torn_write"  # kill in the middle of a file write
     STALL = "stall"  # delays before sends and file writes
-    ENDPOINT_MODE = "endpoint_mode"
+    ENDPOINT_MODE = "endpoint_mode"  # one of the failures of EndpointMode
     ENDPOINT_CRASH = "endpoint_crash"
     ENDPOINT_VANISH = "endpoint_vanish"  # connects time out, open connections go silent
     OUTAGE = "outage"  # all endpoints of a destination refuse connections, then recover together
     LINK = "link"  # impaired links from one forwarder to all endpoints of a destination
     CLIENT_LINK = "client_link"
-    DISCOVERY_DOWN = "discovery_down"
+    DISCOVERY_DOWN = "discovery_down"  # watches are reset and refused
     DISCOVERY_LINK = "discovery_link"
     REPLACE = "replace"  # an endpoint is drained and removed, and another one added
     CROWD = "crowd"  # more idle client connections than the forwarder has descriptors
@@ -42,8 +42,9 @@
 class Fault:
     """One fault.
 
-    ``target`` names a forwarder, an endpoint or a destination, or is empty, depending on the kind, and so do
-    the meanings of ``amount``, ``probability`` and ``detail``.
+    Depending on the kind, ``target`` names a forwarder, an endpoint or a destination, or is empty. ``amount``
+    is a clock step, pause, stall, wait or delay in seconds, a chunk size in bytes, a number of connections or
+    the number of a system call. ``probability`` applies to each call, write or response during the fault.
     """
 
     kind: FaultKind
@@ -72,7 +73,7 @@
     seed: int
     forwarders: int = 24
     destinations: int = 4
-    endpoints_each: int = 2  # per destination
+    endpoints_per_destination: int = 2
     load_s: float = 20.0  # during which clients send requests and faults start
     rate_per_s: float = 6.0  # requests per second to each forwarder
     faults: int = 60
--- a/honeybarrow/soak/rules.py
+++ b/honeybarrow/soak/rules.py
@@ -36,11 +36,11 @@
     LOST = "lost"  # no final result in time, or a call after the final result or deadline
     DUPLICATE = "duplicate"  # concurrent or forbidden repeated calls
     DRAIN = "drain"  # calls to a drained endpoint
-    ORDER = "order"  # order of the messages of a key
+    ORDER = "order"  # messages of one order key out of order or too close
     WAIT = "wait"  # calls during a requested wait
     OVERLOAD = "overload"  # too much load on a recovering destination
     CRASH = "crash"  # unexpected exit or failure in the log
-    READY = "ready"  # slow or failed start
+    READY = "ready"  # process not ready in time after its start
     BAD_CLIENT = "bad_client"  # incomplete request kept open
     GUARD = "guard"  # violation logged by the forwarder's own guard
 
@@ -188,6 +188,7 @@
         }
 
     def _process_number(self, forwarder: str, time_s: float) -> int:
+        """Return the number of processes of a forwarder that had been started by a given time."""
         return sum(start_s <= time_s for start_s in self.starts_by_forwarder.get(forwarder, ()))
 
     def _fault_intervals(self, forwarder: str, kinds: Iterable[FaultKind]) -> list[Interval]:
@@ -371,7 +372,7 @@
                     return
 
     def _check_waits(self) -> None:
-        """Check that a forwarder sends nothing to a destination during a wait that it requested."""
+        """Check that a forwarder respects the wait that a destination requested with a 429."""
         calls: dict[tuple[str, int], list[_Call]] = defaultdict(list)
         for call in self._all_calls():
             calls[call.forwarder, self.destinations[call.endpoint]].append(call)
--- a/honeybarrow/soak/run.py
+++ b/honeybarrow/soak/run.py
@@ -25,9 +25,8 @@
 from honeybarrow.soak.plan import Fault, FaultKind, SoakSpec, draw_faults
 from honeybarrow.soak.rules import RuleChecker, SoakRule, SoakViolation
 
-SETTLE_S = (
-    max(each.deadline_s for each in settings.CLASSES) + 2.0
-)  # after the load, until all deadlines have passed
+# Wait after the load, in which all deadlines pass.
+SETTLE_S = max(each.deadline_s for each in settings.CLASSES) + 2.0
 MAX_START_BATCH = 8  # processes started concurrently, so that starts do not overload the machine
 LEAVE_DELAY_S = 1.5  # from the drain of an endpoint to its removal
 WATCHDOG_INTERVAL_S = 0.2
@@ -105,7 +104,7 @@
     async def _set_up(self) -> None:
         names = [f"f{number:02d}" for number in range(self.spec.forwarders)]
         for destination in range(1, self.spec.destinations + 1):
-            for _ in range(self.spec.endpoints_each):
+            for _ in range(self.spec.endpoints_per_destination):
                 await self._add_endpoint(destination, names)
         for name in names:
             await self.discovery.listen(name)
@@ -134,7 +133,7 @@
         forwarder = ForwarderUnderTest(
             name,
             folder,
-            settings.wire_settings(self.spec.forwarders),
+            settings.make_forwarder_settings(self.spec.forwarders),
             self.discovery,
             self.history,
             self.shims.get(name),
@@ -322,7 +321,7 @@
         await self._impair(fault, [self.discovery.links[fault.target]])
 
     async def _impair(self, fault: Fault, links: Sequence[LinkCondition]) -> None:
-        _set_condition(links, fault)
+        _apply_impairment(links, fault)
         await asyncio.sleep(fault.duration_s)
         for link in links:
             link.delay_s, link.is_silent, link.trickle_chunk_bytes = 0.0, False, 0
@@ -414,7 +413,7 @@
 )  # fmt: skip
 
 
-def _set_condition(links: Sequence[LinkCondition], fault: Fault) -> None:
+def _apply_impairment(links: Sequence[LinkCondition], fault: Fault) -> None:
     for link in links:
         match fault.detail:
             case "delay":
--- a/honeybarrow/soak/settings.py
+++ b/honeybarrow/soak/settings.py
@@ -37,7 +37,7 @@
 CLASS_BY_NAME = {message_class.name: message_class for message_class in CLASSES}
 
 
-def wire_settings(forwarders: int) -> dict[str, Any]:
+def make_forwarder_settings(forwarders: int) -> dict[str, Any]:
     """Return the ``settings`` object of the configuration file for a fleet of ``forwarders``."""
     services = [
         {
