--- a/tests/live.py
+++ b/tests/live.py
@@ -30,7 +30,7 @@
             time.sleep(0.005)
 
 
-def in_reactor(function: Callable[..., Any], *args: Any) -> Any:
+def call_in_reactor(function: Callable[..., Any], *args: Any) -> Any:
     """Call a function in the reactor's thread; return its result, also that of a Deferred."""
     start_reactor()
     return blockingCallFromThread(reactor, function, *args)
@@ -148,7 +148,7 @@
             connection.sock.close()
 
 
-def accept_always(connection: BlockingConnection) -> None:
+def accept_all_messages(connection: BlockingConnection) -> None:
     """Script of a partner that accepts every message."""
     connection.greet()
     while True:
@@ -216,7 +216,7 @@
             self.service.register.subscribe = lambda: None  # type: ignore[method-assign]
             return self.service.start()
 
-        self.ports = {protocol: port for protocol, _, port in in_reactor(start)}
+        self.ports = {protocol: port for protocol, _, port in call_in_reactor(start)}
 
     def list_partner(self, name: str, *ports: int, state: Any = "ready", protocol: Any = "smtp") -> None:
         """Add a partner with an endpoint on each port."""
@@ -232,7 +232,7 @@
             for port in ports
         )
         update = ListUpdate(kind="changes", version=self.version, partners=(partner,), endpoints=rows)
-        in_reactor(lambda: self.service.handle_list_update(self.service.directory.apply(update)))
+        call_in_reactor(lambda: self.service.handle_list_update(self.service.directory.apply(update)))
 
     def client(self, protocol: str = "smtp") -> BlockingConnection:
         """Return a client connection after EHLO or LHLO."""
@@ -255,7 +255,7 @@
         connection.write_lines(*headers, "", "hello", ".")
 
     def stop(self) -> None:
-        in_reactor(self.service.stop)
+        call_in_reactor(self.service.stop)
 
 
 @contextlib.contextmanager
--- a/tests/platform_bench.py
+++ b/tests/platform_bench.py
@@ -164,14 +164,15 @@
         self,
         connection: Any,
         message: str,
-        dest: int = 7,
-        cls: str = "note",
+        destination: int = 7,
+        class_name: str = "note",
         left_ms: int = 3000,
         path: str = "",
     ) -> None:
         connection.dataReceived(
-            f"POST {path or '/' + cls} HTTP/1.1\r\nX-Correlation-Id: {message}\r\nX-Service-Class: {cls}\r\n"
-            f"X-Account: acme\r\nX-Time-Left: {left_ms}m\r\nX-Consignee: dest={dest}\r\n"
+            f"POST {path or '/' + class_name} HTTP/1.1\r\n"
+            f"X-Correlation-Id: {message}\r\nX-Service-Class: {class_name}\r\n"
+            f"X-Account: acme\r\nX-Time-Left: {left_ms}m\r\nX-Consignee: dest={destination}\r\n"
             f"Idempotency-Key: key\r\nContent-Length: 2\r\n\r\nhi".encode()
         )
 
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -19,9 +19,9 @@
 from tests.live import (
     BlockingConnection,
     ScriptedPartner,
-    accept_always,
+    accept_all_messages,
+    call_in_reactor,
     forwarder,
-    in_reactor,
     reactor,
     wait_until,
 )
@@ -35,10 +35,10 @@
 
 
 def refusing(reply: str, *extensions: str) -> ScriptedPartner:
-    def script(wire: BlockingConnection) -> None:
-        wire.greet(*extensions)
+    def script(connection: BlockingConnection) -> None:
+        connection.greet(*extensions)
         while True:
-            wire.accept_message(reply)
+            connection.accept_message(reply)
 
     return ScriptedPartner(script)
 
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize("lmtp", [False, True])
 def test_one_final_result_for_each_message(lmtp: bool) -> None:
     with forwarder() as live:
-        live.list_partner("good.example", ScriptedPartner(accept_always).port)
+        live.list_partner("good.example", ScriptedPartner(accept_all_messages).port)
         live.list_partner("no.example", refusing("550 5.7.1 policy").port)
         live.list_partner("bad.example", refusing("554 5.3.0 broken").port)
         ours = client(live.ports["lmtp" if lmtp else "smtp"], lmtp, max_connections=3)
@@ -57,50 +57,52 @@
             "what@good.example",
             "note@good.example",
         ]
-        answers = in_reactor(ours.submit_batch, "a@c.example", names, CONTENT)
+        answers = call_in_reactor(ours.submit_batch, "a@c.example", names, CONTENT)
         assert [type(answer) for answer in answers] == [Delivered, Failed, Failed, Failed, Delivered]
         assert [getattr(answer, "is_permanent", None) for answer in answers[1:4]] == [True, False, True]
-        answer = in_reactor(ours.submit, "", "post@bad.example", CONTENT, 1)
+        answer = call_in_reactor(ours.submit, "", "post@bad.example", CONTENT, 1)
         assert isinstance(answer, Failed) and 0 < answer.retry_within_s < 3
-        many = [in_reactor(ours.submit, "", "note@good.example", CONTENT) for _ in range(20)]
+        many = [call_in_reactor(ours.submit, "", "note@good.example", CONTENT) for _ in range(20)]
         assert many == [Delivered()] * 20 and len(ours._open) <= 3
-        in_reactor(ours.close)
+        call_in_reactor(ours.close)
         wait_until(lambda: not ours._open)
 
 
 def test_a_refusal_has_a_retry_wait_and_no_listener_is_a_refusal() -> None:
     with forwarder("slots = 8, max_open = 1") as live:
-        live.list_partner("slow.example", ScriptedPartner(lambda wire: time.sleep(5)).port)
+        live.list_partner("slow.example", ScriptedPartner(lambda connection: time.sleep(5)).port)
         ours = client(live.ports["smtp"], max_connections=2)
         first: list[Any] = []
-        in_reactor(lambda: ours.submit("", "note@slow.example", CONTENT).addCallback(first.append) and None)
+        call_in_reactor(
+            lambda: ours.submit("", "note@slow.example", CONTENT).addCallback(first.append) and None
+        )
         wait_until(lambda: live.service.forwarder.open_count == 1)
-        answer = in_reactor(ours.submit, "", "note@slow.example", CONTENT)
+        answer = call_in_reactor(ours.submit, "", "note@slow.example", CONTENT)
         assert isinstance(answer, Refused) and answer.retry_after_s > 0
         port = live.ports["smtp"]
     wait_until(lambda: bool(first))
-    assert isinstance(in_reactor(client(port).submit, "", "note@slow.example", CONTENT), Refused)
+    assert isinstance(call_in_reactor(client(port).submit, "", "note@slow.example", CONTENT), Refused)
 
 
 def test_a_lost_connection_is_no_result_and_submitting_again_gets_it() -> None:
     go = threading.Event()
     runs: list[str] = []
 
-    def held(wire: BlockingConnection) -> None:
-        wire.greet()
-        wire.accept_envelope()
-        runs.append(wire.read_content())
+    def held(connection: BlockingConnection) -> None:
+        connection.greet()
+        connection.accept_envelope()
+        runs.append(connection.read_content())
         go.wait(10)
-        wire.write_lines("250 ok")
-        wire.read_line()
+        connection.write_lines("250 ok")
+        connection.read_line()
 
     with forwarder() as live:
         live.list_partner("p.example", ScriptedPartner(held).port)
         ours = client(live.ports["smtp"])
-        answer = in_reactor(ours.submit, "", "pay@p.example", CONTENT, None, "once", 0.5)
+        answer = call_in_reactor(ours.submit, "", "pay@p.example", CONTENT, None, "once", 0.5)
         assert answer == Failed("no answer in time", is_result_lost=True)
         again: list[Any] = []
-        in_reactor(
+        call_in_reactor(
             lambda: ours.submit("", "pay@p.example", CONTENT, None, "once").addCallback(again.append) and None
         )
         wait_until(lambda: any(event == "duplicate_deferred" for event, _ in live.log.lines))
@@ -147,7 +149,7 @@
 
 def test_third_party_clients() -> None:
     with forwarder() as live:
-        live.list_partner("p.example", ScriptedPartner(accept_always).port)
+        live.list_partner("p.example", ScriptedPartner(accept_all_messages).port)
         live.list_partner("no.example", refusing("550 5.1.1 nobody").port)
         with smtplib.SMTP("127.0.0.1", live.ports["smtp"]) as smtp:
             assert smtp.sendmail("a@c.example", ["note@p.example"], "Subject: x\r\n\r\n.dot\r\n") == {}
@@ -171,7 +173,7 @@
 
 def test_the_command_for_operators(tmp_path: Path) -> None:
     with forwarder() as live:
-        live.list_partner("p.example", ScriptedPartner(accept_always).port)
+        live.list_partner("p.example", ScriptedPartner(accept_all_messages).port)
         live.list_partner("bad.example", refusing("554 5.3.0 broken").port)
         path = tmp_path / "message"
         path.write_bytes(CONTENT.replace(b"\r\n", b"\n"))
--- a/tests/test_forwarder_sockets.py
+++ b/tests/test_forwarder_sockets.py
@@ -5,7 +5,7 @@
 import threading
 import time
 
-from tests.live import BlockingConnection, ScriptedPartner, accept_always, forwarder, wait_until
+from tests.live import BlockingConnection, ScriptedPartner, accept_all_messages, forwarder, wait_until
 
 
 def answering_partner(*answers: str, extensions: tuple[str, ...] = ()) -> tuple[ScriptedPartner, list[str]]:
@@ -59,7 +59,7 @@
         connection.reset()
 
     with forwarder() as live:
-        partner = ScriptedPartner(reset_at_rcpt, reset_at_rcpt, accept_always)
+        partner = ScriptedPartner(reset_at_rcpt, reset_at_rcpt, accept_all_messages)
         live.list_partner("p.example", partner.port)
         assert live.send(live.client(), "pay@p.example").startswith("250")
         assert len(partner.connections) >= 3
@@ -235,7 +235,7 @@
         connection.read_line()
 
     with forwarder() as live:
-        partner, other = ScriptedPartner(reply_when_allowed), ScriptedPartner(accept_always)
+        partner, other = ScriptedPartner(reply_when_allowed), ScriptedPartner(accept_all_messages)
         live.list_partner("p.example", partner.port)
         client = live.client()
         live.submit(client, "note@p.example")
--- a/tests/test_golden_metrics.py
+++ b/tests/test_golden_metrics.py
@@ -13,7 +13,7 @@
 
 from honeybarrow.fleet.status import FleetMetrics, ZoneStatusCount
 from honeybarrow.metrics import Metrics
-from tests.live import LiveForwarder, ScriptedPartner, accept_always, in_reactor
+from tests.live import LiveForwarder, ScriptedPartner, accept_all_messages, call_in_reactor
 
 GOLDEN = Path(__file__).parent / "golden" / "metrics"
 
@@ -29,12 +29,12 @@
     port = free_port()
     live = LiveForwarder(f"slots = 8, max_open = 40, observe = observe(metrics_port = {port})")
     try:
-        live.list_partner("p.example", ScriptedPartner(accept_always).port)
+        live.list_partner("p.example", ScriptedPartner(accept_all_messages).port)
         assert live.send(live.client(), "note@p.example").startswith("250")
         observer = live.service.forwarder.context.observer
-        in_reactor(observer.message_rejected, "no room")
-        in_reactor(observer.message_accepted, "late", "note", "p.example", 1_000_000)
-        in_reactor(observer.message_completed, "late", "refused", 1_000_000, 0, 0)
+        call_in_reactor(observer.message_rejected, "no room")
+        call_in_reactor(observer.message_accepted, "late", "note", "p.example", 1_000_000)
+        call_in_reactor(observer.message_completed, "late", "refused", 1_000_000, 0, 0)
         with urllib.request.urlopen(f"http://127.0.0.1:{port}/metrics") as reply:
             text: str = reply.read().decode()
     finally:
--- a/tests/test_mail_calls.py
+++ b/tests/test_mail_calls.py
@@ -14,7 +14,14 @@
 from honeybarrow.events import AttemptStatus
 from honeybarrow.mail import Path
 from tests.helpers import FakePermit
-from tests.live import BlockingConnection, ScriptedPartner, accept_always, in_reactor, reactor, wait_until
+from tests.live import (
+    BlockingConnection,
+    ScriptedPartner,
+    accept_all_messages,
+    call_in_reactor,
+    reactor,
+    wait_until,
+)
 
 PAYLOAD = MailPayload(Path("a", "c.example"), Path("note", "p.example"), b"Subject: x\r\n\r\nhello\r\n")
 XADVICE = ("XADVICE",)
@@ -27,7 +34,7 @@
 def call(
     pool: MailConnectionPool, port: int, timeout_us: int = 600_000, lmtp: bool = False
 ) -> AttemptOutcome:
-    outcome = in_reactor(
+    outcome = call_in_reactor(
         pool.call, "t", [Address("127.0.0.1", port, lmtp)], PAYLOAD, timeout_us, FakePermit()
     )
     assert isinstance(outcome, AttemptOutcome)
@@ -212,14 +219,14 @@
 
 
 def test_idle_connection_is_reused_and_removed_when_lost() -> None:
-    pool, partner = make_pool(), ScriptedPartner(accept_always)
+    pool, partner = make_pool(), ScriptedPartner(accept_all_messages)
     for _ in range(3):
         assert call(pool, partner.port).status is AttemptStatus.OK
     assert len(partner.connections) == 1 and len(pool.idle_by_target["t"]) == 1
     partner.connections[0].sock.shutdown(socket.SHUT_RDWR)
     wait_until(lambda: not pool.idle_by_target)
     assert call(pool, partner.port).status is AttemptStatus.OK and len(partner.connections) == 2
-    in_reactor(pool.close_idle, "t")
+    call_in_reactor(pool.close_idle, "t")
     wait_until(lambda: not pool.idle_by_target)
     partner.close()
 
@@ -245,7 +252,7 @@
         connection.write_lines("421 4.3.2 closing")
         connection.read_line()
 
-    pool, partner = make_pool(), ScriptedPartner(close_after_message, accept_always)
+    pool, partner = make_pool(), ScriptedPartner(close_after_message, accept_all_messages)
     assert call(pool, partner.port).status is AttemptStatus.OK
     wait_until(lambda: not pool.idle_by_target)
     assert call(pool, partner.port).status is AttemptStatus.OK and len(partner.connections) == 2
@@ -269,7 +276,7 @@
 
         return DeferredList([pool.call("t", [address], PAYLOAD, 2_000_000, FakePermit()) for _ in range(5)])
 
-    assert [outcome.status for _, outcome in in_reactor(start_five_calls)] == [AttemptStatus.OK] * 5
+    assert [outcome.status for _, outcome in call_in_reactor(start_five_calls)] == [AttemptStatus.OK] * 5
     assert len(pool.idle_by_target["t"]) == 2
     partner.close()
 
@@ -288,7 +295,7 @@
         received.append(connection.read_line())
 
     pool, partner = make_pool(), ScriptedPartner(slow)
-    outcome = in_reactor(pool.call, "t", [Address("127.0.0.1", partner.port)], PAYLOAD, 600_000, permit)
+    outcome = call_in_reactor(pool.call, "t", [Address("127.0.0.1", partner.port)], PAYLOAD, 600_000, permit)
     assert isinstance(outcome, AttemptOutcome)
     assert (outcome.status, outcome.not_run) == (AttemptStatus.NOT_SENT, True)
     wait_until(lambda: bool(received))
@@ -297,8 +304,8 @@
 
 
 def test_transaction_is_not_started_if_the_permit_is_refused_after_connecting() -> None:
-    pool, partner, permit = make_pool(), ScriptedPartner(accept_always), FakePermit(reason="in backoff")
-    outcome = in_reactor(pool.call, "t", [Address("127.0.0.1", partner.port)], PAYLOAD, 600_000, permit)
+    pool, partner, permit = make_pool(), ScriptedPartner(accept_all_messages), FakePermit(reason="in backoff")
+    outcome = call_in_reactor(pool.call, "t", [Address("127.0.0.1", partner.port)], PAYLOAD, 600_000, permit)
     assert isinstance(outcome, AttemptOutcome)
     assert (outcome.status, outcome.not_run, outcome.reason) == (AttemptStatus.NOT_SENT, True, "in backoff")
     assert call(pool, partner.port).status is AttemptStatus.OK and len(partner.connections) == 1
--- a/tests/test_mail_front.py
+++ b/tests/test_mail_front.py
@@ -32,7 +32,7 @@
     BlockingConnection,
     LiveForwarder,
     ScriptedPartner,
-    accept_always,
+    accept_all_messages,
     forwarder,
     reactor,
     wait_until,
@@ -87,7 +87,7 @@
         tls=build_server_context(server[0], server[1], authority[0]),
         password=password,
     )
-    partner = ScriptedPartner(accept_always)
+    partner = ScriptedPartner(accept_all_messages)
     live.list_partner("p.example", partner.port)
     yield live, authority[0], settle
     live.stop()
@@ -260,7 +260,7 @@
 
 def test_disconnect_at_any_byte_releases_all_resources() -> None:
     with forwarder() as live:
-        live.list_partner("p.example", ScriptedPartner(accept_always).port)
+        live.list_partner("p.example", ScriptedPartner(accept_all_messages).port)
         session = b"EHLO c\r\n\0MAIL FROM:<a@c.example>\r\nRCPT TO:<note@p.example>\r\nDATA\r\n\0"
         session += b"Subject: x\r\n\r\nhi\r\n.\r\n"
         whole = session.replace(b"\0", b"")
@@ -311,7 +311,7 @@
 
 def test_connections_of_idle_clients_are_closed() -> None:
     with forwarder("fronts = fronts(command_timeout = '300ms', data_timeout = '400ms')") as live:
-        live.list_partner("p.example", ScriptedPartner(accept_always).port)
+        live.list_partner("p.example", ScriptedPartner(accept_all_messages).port)
         silent, incomplete = live.client(), live.client()
         incomplete.write_lines("MAIL FROM:<a@c.example>", "RCPT TO:<note@p.example>", "DATA")
         assert [incomplete.read_reply()[:3] for _ in range(3)] == ["250", "250", "354"]
@@ -339,7 +339,12 @@
             connection.write_lines("550 5.1.1 nobody" if line.startswith("RCPT") else "250 ok")
 
     with forwarder("slots = 16, max_open = 100") as live:
-        for name, script in (("good", accept_always), ("shut", wait), ("mute", silent), ("no", refusing)):
+        for name, script in (
+            ("good", accept_all_messages),
+            ("shut", wait),
+            ("mute", silent),
+            ("no", refusing),
+        ):
             live.list_partner(f"{name}.example", ScriptedPartner(script).port)
         client = live.client("lmtp")
         names = ["good", "shut", "mute", "no", "good"] * 10
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -14,12 +14,18 @@
 from honeybarrow.observer_fanout import ObserverFanout
 from honeybarrow.ports import NullObserver
 from honeybarrow.tracing import MessageTracer
-from tests.live import BlockingConnection, LiveForwarder, ScriptedPartner, accept_always, in_reactor
+from tests.live import (
+    BlockingConnection,
+    LiveForwarder,
+    ScriptedPartner,
+    accept_all_messages,
+    call_in_reactor,
+)
 
 
-def once_broken(wire: BlockingConnection) -> None:
-    wire.greet()
-    wire.accept_message("451 4.3.0 broken")
+def once_broken(connection: BlockingConnection) -> None:
+    connection.greet()
+    connection.accept_message("451 4.3.0 broken")
 
 
 def test_metrics_and_spans_of_whole_paths() -> None:
@@ -30,8 +36,10 @@
     live = LiveForwarder(f"slots = 8, max_open = 40, observe = observe(metrics_port = {port})")
     try:
         core = live.service.forwarder
-        in_reactor(lambda: setattr(core.context, "observer", ObserverFanout(core.context.observer, spans)))
-        live.list_partner("p.example", ScriptedPartner(once_broken, accept_always).port)
+        call_in_reactor(
+            lambda: setattr(core.context, "observer", ObserverFanout(core.context.observer, spans))
+        )
+        live.list_partner("p.example", ScriptedPartner(once_broken, accept_all_messages).port)
         client = live.client()
         assert live.send(client, "note@p.example").startswith("250")
         with urllib.request.urlopen(f"http://127.0.0.1:{port}/metrics") as reply:
--- a/tests/test_multiple_addresses.py
+++ b/tests/test_multiple_addresses.py
@@ -22,9 +22,9 @@
 from tests.live import (
     BlockingConnection,
     ScriptedPartner,
-    accept_always,
+    accept_all_messages,
+    call_in_reactor,
     forwarder,
-    in_reactor,
     reactor,
     wait_until,
 )
@@ -70,7 +70,7 @@
 
 
 def call(pool: MailConnectionPool, *addresses: Address, timeout_us: int = 3_000_000) -> AttemptOutcome:
-    outcome = in_reactor(pool.call, "t", addresses, PAYLOAD, timeout_us, FakePermit())
+    outcome = call_in_reactor(pool.call, "t", addresses, PAYLOAD, timeout_us, FakePermit())
     assert isinstance(outcome, AttemptOutcome)
     return outcome
 
@@ -88,7 +88,7 @@
 
 @requires_ipv6
 def test_address_without_a_greeting_is_abandoned_and_receives_no_data(tmp_path: FilePath) -> None:
-    unresponsive, healthy = Listener(tmp_path / "p.sock", silent), Listener("::1", accept_always)
+    unresponsive, healthy = Listener(tmp_path / "p.sock", silent), Listener("::1", accept_all_messages)
     pool = make_pool()
     assert call(pool, unresponsive.address, healthy.address).status is AttemptStatus.OK
     assert len(unresponsive.connections) == 1 and len(healthy.connections) == 1
@@ -100,7 +100,7 @@
 def test_refused_address_is_ranked_behind_the_others() -> None:
     with socket.create_server(("127.0.0.1", 0)) as server:
         refused = Address("127.0.0.1", server.getsockname()[1])
-    partner, healthy = ipv4_partner(accept_always)
+    partner, healthy = ipv4_partner(accept_all_messages)
     pool = make_pool()
     assert call(pool, refused, healthy).status is AttemptStatus.OK
     assert pool.address_health.rank_addresses(pool.now_us(), [refused, healthy])[0].address == healthy
@@ -108,7 +108,7 @@
 
 def test_missing_socket_file_is_a_failed_connect(tmp_path: FilePath) -> None:
     missing = Address(path=str(tmp_path / "none.sock"))
-    _, healthy = ipv4_partner(accept_always)
+    _, healthy = ipv4_partner(accept_all_messages)
     assert call(make_pool(), missing, healthy).status is AttemptStatus.OK
     outcome = call(make_pool(), missing)
     assert (outcome.status, outcome.not_run) == (AttemptStatus.CONNECT_FAILED, True)
@@ -116,19 +116,22 @@
 
 def test_replaced_socket_file_leads_to_the_new_listener(tmp_path: FilePath) -> None:
     path = tmp_path / "p.sock"
-    old = Listener(path, accept_always)
+    old = Listener(path, accept_all_messages)
     pool = make_pool()
     assert call(pool, old.address).status is AttemptStatus.OK
-    in_reactor(pool.close_all_idle)
+    call_in_reactor(pool.close_all_idle)
     old.close()
     os.unlink(path)
-    new = Listener(path, accept_always)
+    new = Listener(path, accept_all_messages)
     assert call(pool, new.address).status is AttemptStatus.OK and len(new.connections) == 1
 
 
 @requires_ipv6
 def test_no_other_address_is_tried_after_the_end_of_data(tmp_path: FilePath) -> None:
-    unresponsive, healthy = Listener("::1", silent_after_data), Listener(tmp_path / "p.sock", accept_always)
+    unresponsive, healthy = (
+        Listener("::1", silent_after_data),
+        Listener(tmp_path / "p.sock", accept_all_messages),
+    )
     first = Address(unresponsive.address.host, unresponsive.address.port, priority=0)
     second = Address(path=healthy.address.path, priority=1)
     outcome = call(make_pool(), first, second, timeout_us=700_000)
@@ -151,7 +154,10 @@
 
 @pytest.mark.parametrize("answers", [(), ("250 ok",), ("250 ok", "250 ok")])
 def test_attempt_moves_on_if_an_address_hangs_before_the_end_of_data(answers: tuple[str, ...]) -> None:
-    (unresponsive, first), (healthy, second) = ipv4_partner(hang_after(*answers)), ipv4_partner(accept_always)
+    (unresponsive, first), (healthy, second) = (
+        ipv4_partner(hang_after(*answers)),
+        ipv4_partner(accept_all_messages),
+    )
     pool = make_pool()
     outcome = call(pool, first, Address(second.host, second.port, priority=1), timeout_us=1_500_000)
     assert outcome.status is AttemptStatus.OK
@@ -170,17 +176,17 @@
 
 
 def test_removed_address_loses_its_calls_and_idle_connections() -> None:
-    (old, first), (new, second) = ipv4_partner(accept_always), ipv4_partner(accept_always)
+    (old, first), (new, second) = ipv4_partner(accept_all_messages), ipv4_partner(accept_all_messages)
     pool = make_pool()
     assert call(pool, first).status is AttemptStatus.OK
-    in_reactor(pool.update_addresses, {"t": [second]})
+    call_in_reactor(pool.update_addresses, {"t": [second]})
     assert pool.idle_by_target == {}
     assert call(pool, second).status is AttemptStatus.OK and len(new.connections) == 1
     unresponsive, third = ipv4_partner(hang_after("250 ok"))
-    result = in_reactor(lambda: [pool.call("t", [third], PAYLOAD, 5_000_000, FakePermit())])[0]
+    result = call_in_reactor(lambda: [pool.call("t", [third], PAYLOAD, 5_000_000, FakePermit())])[0]
     wait_until(lambda: len(unresponsive.connections) == 1 and bool(pool.calls_by_target))
-    in_reactor(pool.update_addresses, {"t": [second]})
-    outcome = in_reactor(lambda: result)
+    call_in_reactor(pool.update_addresses, {"t": [second]})
+    outcome = call_in_reactor(lambda: result)
     assert (outcome.status, outcome.not_run) in {
         (AttemptStatus.CONNECT_FAILED, True),
         (AttemptStatus.RESET, True),
@@ -235,7 +241,7 @@
         connection.read_line()
 
     busy_partner, first = ipv4_partner(refuse_with_wait)
-    other, second = ipv4_partner(accept_always)
+    other, second = ipv4_partner(accept_all_messages)
     outcome = call(make_pool(), first, Address(second.host, second.port, priority=1))
     assert (outcome.status, outcome.retry_after_us) == (
         AttemptStatus.FULL,
@@ -255,7 +261,7 @@
 
 
 def test_address_that_moves_to_another_partner_gets_no_messages_of_the_first() -> None:
-    (shared, _), (other, _) = ipv4_partner(accept_always), ipv4_partner(accept_always)
+    (shared, _), (other, _) = ipv4_partner(accept_all_messages), ipv4_partner(accept_all_messages)
     with forwarder() as live:
         live.list_partner("one.example", shared.port)
         connection = live.client()
@@ -282,7 +288,7 @@
             partners=(Partner(number=2, name="two.example"),),
             endpoints=entries,
         )
-        in_reactor(lambda: live.service.handle_list_update(live.service.directory.apply(update)))
+        call_in_reactor(lambda: live.service.handle_list_update(live.service.directory.apply(update)))
         assert live.service.pool.idle_by_target == {}
         assert live.send(connection, "note@one.example").startswith("250")
         assert len(other.connections) == 1 and len(shared.connections) == before
@@ -292,7 +298,7 @@
 
 
 def test_address_in_the_network_of_another_partner_is_not_called() -> None:
-    foreign_partner, _ = ipv4_partner(accept_always)
+    foreign_partner, _ = ipv4_partner(accept_all_messages)
     with forwarder() as live:
         live.version += 1
         update = ListUpdate(
@@ -311,7 +317,7 @@
                 ),
             ),
         )
-        in_reactor(lambda: live.service.handle_list_update(live.service.directory.apply(update)))
+        call_in_reactor(lambda: live.service.handle_list_update(live.service.directory.apply(update)))
         assert not live.send(live.client(), "brief@one.example").startswith("250")
         assert foreign_partner.connections == []
         reasons = [fields["reason"] for event, fields in live.log.lines if event == "address_forbidden"]
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -20,7 +20,7 @@
     PartnerDirectory,
     RegisterClient,
 )
-from tests.live import BlockingConnection, RecordingLog, ScriptedPartner, in_reactor, reactor, wait_until
+from tests.live import BlockingConnection, RecordingLog, ScriptedPartner, call_in_reactor, reactor, wait_until
 
 ONE, TWO = Partner(number=1, name="one.example", kind="shop"), Partner(number=2, name="two.example")
 
@@ -117,7 +117,7 @@
         lambda _: None,
         RecordingLog(),
     )
-    in_reactor(client.subscribe)
+    call_in_reactor(client.subscribe)
     return client, register, updates
 
 
@@ -135,7 +135,7 @@
     client, register, updates = start_client(script)
     wait_until(lambda: len(updates) == 3)
     assert [update.kind for update in updates] == [UpdateKind.FULL, UpdateKind.CHANGES, UpdateKind.FAILED]
-    in_reactor(client.stop)
+    call_in_reactor(client.stop)
     register.close()
 
 
@@ -157,9 +157,9 @@
     client, register, updates = start_client(invalid_answer, no_answer, valid_answer, timeout=0.3)
     for count in (1, 2, 3):
         wait_until(lambda count=count: len(updates) == count)  # type: ignore[misc]
-        in_reactor(client.subscribe)
+        call_in_reactor(client.subscribe)
     assert [update.kind for update in updates[:3]] == [UpdateKind.FAILED, UpdateKind.FAILED, UpdateKind.FULL]
-    in_reactor(client.stop)
+    call_in_reactor(client.stop)
     register.close()
 
 
--- a/tests/test_submission.py
+++ b/tests/test_submission.py
@@ -30,7 +30,7 @@
     bench = SubmissionBench(tmp_path)
     client, _ = bench.connect_client()
     for name in ("m1", "m2"):
-        bench.submit(client, name, cls="step", path="/step/a1")
+        bench.submit(client, name, class_name="step", path="/step/a1")
         bench.clock.advance(0.01)
     assert len(bench.clock.tcpClients) == 1, "the second waits for the first"
     bench.connect_endpoint()
@@ -52,10 +52,10 @@
 ) -> None:
     bench = SubmissionBench(tmp_path)
     client, _ = bench.connect_client()
-    bench.submit(client, "m1", cls="step", path="/step/a1", left_ms=300)
+    bench.submit(client, "m1", class_name="step", path="/step/a1", left_ms=300)
     bench.clock.advance(0.01)
     bench.connect_endpoint()  # never responds, so m1 fails
-    bench.submit(client, "m2", cls="step", path="/step/a1", left_ms=9000)
+    bench.submit(client, "m2", class_name="step", path="/step/a1", left_ms=9000)
 
     def count_connects() -> int:
         return sum(each[0] == "127.0.0.1" for each in bench.clock.tcpClients)
@@ -123,7 +123,7 @@
 def test_a_failed_message_is_notified_once_and_kept_until_acknowledged(tmp_path: Path) -> None:
     bench = SubmissionBench(tmp_path)
     connection, _ = bench.connect_client()
-    bench.submit(connection, "m1", cls="pay")
+    bench.submit(connection, "m1", class_name="pay")
     bench.clock.advance(0)
     bench.connect_endpoint()[0].dataReceived(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
     bench.clock.pump([0.01] * 3)
@@ -142,7 +142,7 @@
     """Guards against duplicates from a retry that is decided within the key window and sent after it."""
     bench = SubmissionBench(tmp_path)
     client, _ = bench.connect_client()
-    bench.submit(client, "m1", cls="post", left_ms=20_000)
+    bench.submit(client, "m1", class_name="post", left_ms=20_000)
     bench.clock.advance(0)
     started_s = bench.clock.seconds()
 
@@ -270,7 +270,7 @@
     bench = SubmissionBench(tmp_path)
     bench.forwarder.context.get_shutdown_age_us = lambda: MAX_SHUTDOWN_US - SHUTDOWN_QUIET_US
     connection, transport = bench.connect_client()
-    bench.submit(connection, "p1", cls="pay")
+    bench.submit(connection, "p1", class_name="pay")
     bench.clock.advance(0)
     assert status_of(transport) == b"202" and bench.clock.tcpClients == []
     bench.clock.pump([0.05] * 3)
--- a/tests/test_ten_thousand.py
+++ b/tests/test_ten_thousand.py
@@ -14,7 +14,7 @@
 
 from honeybarrow import mail
 from honeybarrow.client import Client, ClientLimits, Delivered, Failed, Refused
-from tests.live import forwarder, in_reactor, reactor
+from tests.live import call_in_reactor, forwarder, reactor
 
 MESSAGE_COUNT = 10_000
 GRACE_US = 1_000_000  # tolerance for scheduling delays of a loaded machine
@@ -35,7 +35,7 @@
         factory = Factory()
         factory.noisy = False
         factory.buildProtocol = lambda addr: FaultyPartner(self, rng, faults)  # type: ignore[method-assign]
-        return int(in_reactor(reactor.listenTCP, 0, factory, 50, "127.0.0.1").getHost().port)
+        return int(call_in_reactor(reactor.listenTCP, 0, factory, 50, "127.0.0.1").getHost().port)
 
 
 class FaultyPartner(Protocol):
@@ -137,9 +137,9 @@
                 submit()
             return done
 
-        in_reactor(submit_first_messages)
+        call_in_reactor(submit_first_messages)
         for client in clients:
-            in_reactor(client.close)
+            call_in_reactor(client.close)
         counts = live.service.forwarder.counters
         intake = live.service.admission
     assert all(len(found) == 1 for found in answers.values())
