--- a/tests/crossing.py
+++ b/tests/forwarder_harness.py
@@ -104,7 +104,7 @@
     """A simulated kill of the process at the point where it is raised."""
 
 
-class Rig:
+class ForwarderHarness:
     """A forwarder with its discovery, its endpoint and its clients."""
 
     def __init__(self, folder: Path, sockets: int = 256, on_request: bool = True, **changes: Any) -> None:
@@ -113,7 +113,7 @@
         self.now_s = 100.0
         self.booted_s, self.boot_id = 0.0, "first"  # of the simulated machine
         self.wall_step_s = 0.0  # offset of the wall clock from steps
-        self.target, self.platform, self.moved_platform = ListeningPeer(), ListeningPeer(), ListeningPeer()
+        self.target, self.platform, self.second_discovery = ListeningPeer(), ListeningPeer(), ListeningPeer()
         self.reactors: list[Any] = []
         self.clients: list[PeerConnection] = []
         probe = socket.create_server(("127.0.0.1", 0))
@@ -264,7 +264,7 @@
     def receive_notifications(self, answer: bytes = NO_CONTENT) -> list[dict[str, Any]]:
         """Return all notifications received so far; answer each new batch with ``answer``."""
         found: list[dict[str, Any]] = []
-        for party in (self.platform, self.moved_platform):
+        for party in (self.platform, self.second_discovery):
             for connection in party.accept_connections():
                 for part in connection.read().split(b"POST /reports")[1:]:
                     found += [json.loads(row) for row in part.split(b"\r\n\r\n", 1)[1].splitlines() if row]
@@ -287,11 +287,11 @@
             os.close(reactor.waker.o)
         for connection in self.clients:
             connection.socket.close()
-        for party in (self.target, self.platform, self.moved_platform):
+        for party in (self.target, self.platform, self.second_discovery):
             party.close()
 
 
-def wait_for_end(rig: Rig, connection: PeerConnection) -> str:
+def wait_for_end(harness: ForwarderHarness, connection: PeerConnection) -> str:
     """Wait up to 3 s for the end of a connection; return how it ended."""
-    rig.advance_until(lambda: connection.read() is not None and connection.ending, 3)
+    harness.advance_until(lambda: connection.read() is not None and connection.ending, 3)
     return connection.ending
