--- a/benchmarks/guard_cost.py
+++ b/benchmarks/guard_cost.py
@@ -17,7 +17,7 @@
 from honeybarrow.events import Endpoint, EndpointState, MembershipUpdate, UpdateKind
 from honeybarrow.message_guard import MessageGuard, Result
 from honeybarrow.settings import MessageClass, Settings
-from tests.platform import Platform
+from tests.platform_harness import PlatformHarness
 from tests.test_service_on_platform import SETTINGS
 
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
@@ -52,7 +52,7 @@
 
 async def _deliver(messages: int) -> float:
     with tempfile.TemporaryDirectory() as folder:
-        platform = Platform(Path(folder), SETTINGS)
+        platform = PlatformHarness(Path(folder), SETTINGS)
         try:
             await platform.start_peers()
             await platform.start_forwarder()
--- a/tests/platform.py
+++ b/tests/platform_harness.py
@@ -37,7 +37,7 @@
     return f"{host}:{port}"
 
 
-class Platform:
+class PlatformHarness:
     """All peers of one forwarder, and the forwarder's process."""
 
     def __init__(self, folder: Path, settings: dict[str, Any]) -> None:
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -14,7 +14,7 @@
 import pytest
 
 from honeybarrow.soak.fault_shim import FaultShim, NoCompilerError, build_shim
-from tests.platform import TARGET_ANSWER, Platform
+from tests.platform_harness import TARGET_ANSWER, PlatformHarness
 from tests.test_service_on_platform import SETTINGS
 
 RESULT_SLACK_S = 0.3  # time after the deadline of a message within which its result must be known
@@ -22,7 +22,7 @@
 HOUR_S = 3600.0
 
 
-def run_with_faults(folder: Path, scenario: Callable[[Platform, FaultShim], Awaitable[None]]) -> None:
+def run_with_faults(folder: Path, scenario: Callable[[PlatformHarness, FaultShim], Awaitable[None]]) -> None:
     """Run a scenario with a forwarder whose wall clock and system calls the scenario controls."""
     try:
         library = build_shim(folder)
@@ -30,7 +30,7 @@
         pytest.skip(f"building the fault library requires a C compiler: {error}")
 
     async def run_scenario() -> None:
-        platform = Platform(folder, SETTINGS)
+        platform = PlatformHarness(folder, SETTINGS)
         shim = FaultShim(library, folder / "control", platform.state, 1)
         platform.environment = shim.environment()
         try:
@@ -44,19 +44,21 @@
     asyncio.run(run_scenario())
 
 
-def has_final_result(platform: Platform, message: str) -> bool:
+def has_final_result(platform: PlatformHarness, message: str) -> bool:
     """Return whether the platform has received the final result of a message."""
     notified = any(each["message"] == message for each in platform.notifications)
     return notified or message in platform.delivered
 
 
-async def wait_for_result(platform: Platform, message: str, submitted_s: float, time_left_s: float) -> None:
+async def wait_for_result(
+    platform: PlatformHarness, message: str, submitted_s: float, time_left_s: float
+) -> None:
     """Wait for the final result of a message; fail if it is late."""
     remaining_s = submitted_s + time_left_s + RESULT_SLACK_S - time.monotonic()
     await platform.wait_until(lambda: has_final_result(platform, message), remaining_s)
 
 
-async def restart(platform: Platform, shim: FaultShim, step_s: float, downtime_s: float) -> None:
+async def restart(platform: PlatformHarness, shim: FaultShim, step_s: float, downtime_s: float) -> None:
     """Kill the forwarder, step its wall clock and start it again."""
     await platform.end_forwarder(signal.SIGKILL)
     shim.step_wall_clock(step_s)
@@ -67,7 +69,7 @@
 def test_a_call_in_flight_ends_in_time_though_the_wall_clock_is_set_back(tmp_path: Path) -> None:
     """The clock is set back by 20 s while an attempt waits for its answer."""
 
-    async def scenario(platform: Platform, shim: FaultShim) -> None:
+    async def scenario(platform: PlatformHarness, shim: FaultShim) -> None:
         platform.choose_answer = lambda message: None
         submitted_s = time.monotonic()
         assert await platform.submit("m1", left="2500m") == 202
@@ -81,7 +83,7 @@
 def test_connect_in_flight_times_out_although_clock_is_set_back(tmp_path: Path) -> None:
     """The clock is set back by 20 s while the second attempt waits for its connection."""
 
-    async def scenario(platform: Platform, shim: FaultShim) -> None:
+    async def scenario(platform: PlatformHarness, shim: FaultShim) -> None:
         platform.choose_answer = lambda message: None
         submitted_s = time.monotonic()
         assert await platform.submit("m1", left="4000m") == 202
@@ -97,7 +99,7 @@
 
 
 def test_clock_set_forward_interrupts_no_call_and_fails_no_message(tmp_path: Path) -> None:
-    async def scenario(platform: Platform, shim: FaultShim) -> None:
+    async def scenario(platform: PlatformHarness, shim: FaultShim) -> None:
         platform.choose_answer = lambda message: None
         assert await platform.submit("m1", "pay", left="7000m") == 202
         await platform.wait_until(lambda: platform.calls)
@@ -116,7 +118,7 @@
 
 
 def test_unexpired_message_is_attempted_after_restart_with_clock_set_forward(tmp_path: Path) -> None:
-    async def scenario(platform: Platform, shim: FaultShim) -> None:
+    async def scenario(platform: PlatformHarness, shim: FaultShim) -> None:
         platform.choose_answer = lambda message: b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
         submitted_s = time.monotonic()
         assert await platform.submit("m1", "pay") == 202
@@ -130,7 +132,7 @@
 
 
 def test_expired_message_is_not_forwarded_after_restart_with_clock_set_back(tmp_path: Path) -> None:
-    async def scenario(platform: Platform, shim: FaultShim) -> None:
+    async def scenario(platform: PlatformHarness, shim: FaultShim) -> None:
         platform.choose_answer = lambda message: None
         assert await platform.submit("m1", left="1500m") == 202
         await platform.wait_until(lambda: platform.calls)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -35,7 +35,7 @@
 from honeybarrow.rehearsal.plot import PlotError, plot
 from honeybarrow.rehearsal.schema import Fault
 from honeybarrow.rehearsal.zone_outages import find_zone_outages
-from tests.fleet_days import LogLine, collect_verdicts, list_ejected_zones, make_script
+from tests.fleet_scenarios import LogLine, collect_verdicts, list_ejected_zones, make_script
 from tests.test_endpoint_filter import full_update, make_endpoint, states_by_target
 
 SECOND = 1_000_000
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from tests.fleet_days import LogLine, collect_verdicts, list_ejected_zones, make_script, read_logs
+from tests.fleet_scenarios import LogLine, collect_verdicts, list_ejected_zones, make_script, read_logs
 
 ALL_FORWARDERS = {f"f{n}" for n in range(1, 10)}
 SCENARIOS = {
--- a/tests/test_folder_faults.py
+++ b/tests/test_folder_faults.py
@@ -15,7 +15,7 @@
 import pytest
 
 from honeybarrow.soak.fault_shim import FaultShim, SystemCall
-from tests.platform import TARGET_ANSWER, Platform
+from tests.platform_harness import TARGET_ANSWER, PlatformHarness
 from tests.test_clock_steps import RESTART_DELAY_S, run_with_faults
 from tests.test_system_call_faults import check_accepted_messages, submit_during_fault, try_submit
 
@@ -24,7 +24,7 @@
 
 
 def test_while_the_folder_fails_nothing_is_accepted_and_what_was_accepted_goes_on(tmp_path: Path) -> None:
-    async def scenario(platform: Platform, shim: FaultShim) -> None:
+    async def scenario(platform: PlatformHarness, shim: FaultShim) -> None:
         platform.choose_answer = lambda message: OVERLOADED_ANSWER
         for name in ("note-1", "post-1", "pay-1"):
             assert await platform.submit(name, name.split("-")[0]) == 202
@@ -53,7 +53,7 @@
 ) -> None:
     """After a kill the next process resumes the message, since the platform was not notified."""
 
-    async def scenario(platform: Platform, shim: FaultShim) -> None:
+    async def scenario(platform: PlatformHarness, shim: FaultShim) -> None:
         platform.choose_answer = lambda message: None
         submitted_s = time.monotonic()
         assert await platform.submit("m1", "pay", "4000m") == 202
@@ -75,7 +75,7 @@
 
 
 def test_result_is_reported_once_recorded(tmp_path: Path) -> None:
-    async def scenario(platform: Platform, shim: FaultShim) -> None:
+    async def scenario(platform: PlatformHarness, shim: FaultShim) -> None:
         platform.choose_answer = lambda message: b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
         shim.fail(SystemCall.WRITE, FOLDER_ERRNOS, seconds=0.5)
         assert await platform.submit("p0", "pay") == 503
@@ -91,7 +91,7 @@
 def test_folder_faults_under_load_and_kill_lose_no_message(
     tmp_path: Path, call: SystemCall, share: float
 ) -> None:
-    async def scenario(platform: Platform, shim: FaultShim) -> None:
+    async def scenario(platform: PlatformHarness, shim: FaultShim) -> None:
         shim.fail(call, FOLDER_ERRNOS, share, 1.0)
         if call is SystemCall.TRUNCATE:  # the rest of a failed write cannot be truncated
             shim.fail(SystemCall.WRITE, FOLDER_ERRNOS, 0.3, 1.0, short_share=0.3)
@@ -106,7 +106,7 @@
 
 
 def test_short_writes_lose_nothing(tmp_path: Path) -> None:
-    async def scenario(platform: Platform, shim: FaultShim) -> None:
+    async def scenario(platform: PlatformHarness, shim: FaultShim) -> None:
         shim.fail(SystemCall.WRITE, short_share=0.7)
         accepted = await submit_during_fault(platform)
         assert shim.hits(SystemCall.WRITE) > len(accepted) // 2
@@ -119,7 +119,7 @@
 
 
 def test_a_kill_in_the_middle_of_a_write_leaves_what_was_accepted_before(tmp_path: Path) -> None:
-    async def scenario(platform: Platform, shim: FaultShim) -> None:
+    async def scenario(platform: PlatformHarness, shim: FaultShim) -> None:
         accepted: dict[str, float] = {}
         for number in range(30):
             name = f"{('note', 'post', 'pay')[number % 3]}-{number}"
@@ -144,7 +144,7 @@
 def test_a_process_starts_in_a_folder_that_fails(tmp_path: Path, call: SystemCall) -> None:
     """The process is ready once it has read its log, and accepts messages once it can write to it."""
 
-    async def scenario(platform: Platform, shim: FaultShim) -> None:
+    async def scenario(platform: PlatformHarness, shim: FaultShim) -> None:
         platform.choose_answer = lambda message: OVERLOADED_ANSWER
         accepted = {}
         for name in ("note-1", "post-1", "pay-1"):
@@ -164,7 +164,7 @@
 def test_a_segment_that_can_not_be_removed_brings_no_message_back(tmp_path: Path) -> None:
     """Removing a later segment first would make its completed messages pending after a restart."""
 
-    async def scenario(platform: Platform, shim: FaultShim) -> None:
+    async def scenario(platform: PlatformHarness, shim: FaultShim) -> None:
         shim.fail(SystemCall.UNLINK, FOLDER_ERRNOS)
         for number in range(400):
             assert await platform.submit(f"note-{number}") in (202, 503)
--- a/tests/test_golden_lab.py
+++ b/tests/test_golden_lab.py
@@ -21,7 +21,7 @@
 from honeybarrow.fleet.replication import AppendAck, AppendRecords, FenceReply, FenceRequest, RequestRejected
 from honeybarrow.lab import fault_search
 from honeybarrow.rehearsal import SCENARIO_WORDS, Scenario
-from tests import fleet_days, mutants, test_replication
+from tests import fleet_scenarios, mutants, test_replication
 
 GOLDEN = Path(__file__).parent / "golden"
 SCENARIOS = Path(rehearsal.__file__).parent / "scenarios"
@@ -71,7 +71,9 @@
 
 
 def make_fleet_config() -> lab.SimulationConfig:
-    return read_config("fleet", fleet_days.make_script(20900, FLEET_FAULTS, 10, forwarder_count=3, rate=30.0))
+    return read_config(
+        "fleet", fleet_scenarios.make_script(20900, FLEET_FAULTS, 10, forwarder_count=3, rate=30.0)
+    )
 
 
 def shorten_scenario(name: str, duration_us: int) -> lab.SimulationConfig:
--- a/tests/test_golden_platform.py
+++ b/tests/test_golden_platform.py
@@ -37,8 +37,8 @@
 )
 from honeybarrow.settings import Idempotency, MessageClass
 from tests.helpers import make_clocks
-from tests.platform import TARGET_ANSWER, Platform
 from tests.platform_bench import MemoryTransport, SubmissionBench, create_request
+from tests.platform_harness import TARGET_ANSWER, PlatformHarness
 
 GOLDEN = Path(__file__).parent / "golden"
 LOGS = GOLDEN / "write_ahead_log"
@@ -267,7 +267,7 @@
     expected = read_golden("platform/process.json")
 
     async def recover() -> None:
-        platform = Platform(tmp_path, settings)
+        platform = PlatformHarness(tmp_path, settings)
         copy_folder("each_kind", platform.state)
         try:
             await platform.start_peers()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -22,7 +22,7 @@
 from honeybarrow.message_guard import MessageGuard
 from honeybarrow.rehearsal import SCENARIO_WORDS, Fault, Scenario
 from tests import mutants
-from tests.fleet_days import make_script
+from tests.fleet_scenarios import make_script
 
 SECOND = 1_000_000
 CALM_PATH = Path(lab.__file__).parent.parent / "rehearsal" / "scenarios" / "calm.star"
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.platform import TARGET_ANSWER, Platform
+from tests.platform_harness import TARGET_ANSWER, PlatformHarness
 
 ROOT = Path(__file__).parent.parent
 SITES = sorted(ROOT.glob("deploy/sites/*/*.toml"))
@@ -83,7 +83,7 @@
 }  # fmt: skip
 
 
-async def post(platform: Platform, message: str, cls: str, account: str) -> int:
+async def post(platform: PlatformHarness, message: str, cls: str, account: str) -> int:
     return await platform.send_request(
         f"POST /{cls} HTTP/1.1\r\nHost: o\r\nX-Correlation-Id: {message}\r\nX-Service-Class: {cls}\r\n"
         f"X-Account: {account}\r\nX-Time-Left: 6000m\r\nX-Consignee: dest=7\r\n"
@@ -99,7 +99,7 @@
     """Two forwarder processes use the same state folder with the settings of different customers."""
 
     async def run() -> None:
-        platform = Platform(tmp_path, first)
+        platform = PlatformHarness(tmp_path, first)
         try:
             await platform.start_peers()
             old, new = ([row["name"] for row in each["services"]] for each in (first, second))
--- a/tests/test_service_on_platform.py
+++ b/tests/test_service_on_platform.py
@@ -16,7 +16,7 @@
 from honeybarrow.clocks import system_clocks
 from honeybarrow.node.write_ahead_log import WriteAheadLog
 from honeybarrow.recovery import MessageAccepted
-from tests.platform import TARGET_ANSWER, Platform
+from tests.platform_harness import TARGET_ANSWER, PlatformHarness
 
 CLASS_LIMITS = {"aimUs": 3_000_000, "hardLimitUs": 8_000_000, "lateShare": 0.4}
 SETTINGS: dict[str, Any] = {
@@ -32,11 +32,11 @@
 }
 
 
-def run_on_platform(folder: Path, scenario: Callable[[Platform], Awaitable[None]]) -> None:
+def run_on_platform(folder: Path, scenario: Callable[[PlatformHarness], Awaitable[None]]) -> None:
     """Run a scenario against a started forwarder, then stop the platform."""
 
     async def run() -> None:
-        platform = Platform(folder, SETTINGS)
+        platform = PlatformHarness(folder, SETTINGS)
         try:
             await platform.start_peers()
             await platform.start_forwarder()
@@ -48,7 +48,7 @@
 
 
 def test_a_message_is_delivered_unchanged(tmp_path: Path) -> None:
-    async def scenario(platform: Platform) -> None:
+    async def scenario(platform: PlatformHarness) -> None:
         assert await platform.submit("m1") == 202
         await platform.wait_until(lambda: platform.delivered == ["m1"])
         assert platform.calls == [("m1", b"a\x00\r\nb")] and platform.keys == {"m1": "k-m1"}
@@ -61,7 +61,7 @@
 
 
 def test_a_failed_message_is_notified_at_once(tmp_path: Path) -> None:
-    async def scenario(platform: Platform) -> None:
+    async def scenario(platform: PlatformHarness) -> None:
         platform.choose_answer = lambda message: b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
         assert await platform.submit("p1", "pay") == 202
         await platform.wait_until(lambda: platform.notifications)
@@ -73,7 +73,7 @@
 
 
 def test_only_messages_with_a_fault_are_logged_each_step_with_its_id(tmp_path: Path) -> None:
-    async def scenario(platform: Platform) -> None:
+    async def scenario(platform: PlatformHarness) -> None:
         assert await platform.submit("delivered-1") == 202
         await platform.wait_until(lambda: platform.delivered == ["delivered-1"])
         platform.choose_answer = lambda message: b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
@@ -95,7 +95,7 @@
 
 
 def test_killed_repeatedly_it_completes_each_message_and_repeats_no_payment(tmp_path: Path) -> None:
-    async def scenario(platform: Platform) -> None:
+    async def scenario(platform: PlatformHarness) -> None:
         names = [f"{cls}-{number}" for number in range(15) for cls in ("note", "post", "pay")]
         seen: Counter[str] = Counter()
 
@@ -132,7 +132,7 @@
 
 
 def test_a_planned_restart_leaves_open_messages_to_the_next_process(tmp_path: Path) -> None:
-    async def scenario(platform: Platform) -> None:
+    async def scenario(platform: PlatformHarness) -> None:
         retry_later = b"HTTP/1.1 429 Wait\r\nX-Come-Back-Ms: 9000\r\nContent-Length: 0\r\n\r\n"
         platform.choose_answer = lambda message: retry_later
         assert await platform.submit("m1") == 202
@@ -147,7 +147,7 @@
 
 
 def test_a_reload_moves_watch_and_notifications_and_an_invalid_one_changes_nothing(tmp_path: Path) -> None:
-    async def scenario(platform: Platform) -> None:
+    async def scenario(platform: PlatformHarness) -> None:
         await platform.wait_until(lambda: platform.watches)
         assert platform.process is not None
         (tmp_path / "config.json").write_text("{")
@@ -209,7 +209,7 @@
             each.close()
 
 
-async def _measure_start_s(platform: Platform) -> float:
+async def _measure_start_s(platform: PlatformHarness) -> float:
     """Return the shortest start time of up to three starts, which excludes delays by a busy machine."""
     ready_s: list[float] = []
     while True:
@@ -226,7 +226,7 @@
     tmp_path: Path, mode: str
 ) -> None:
     """Many clients connect during the start, and the write-ahead log is full."""
-    platform = Platform(tmp_path, {**SETTINGS, "membershipMode": mode})
+    platform = PlatformHarness(tmp_path, {**SETTINGS, "membershipMode": mode})
     assert 500 < _fill_log(platform.state) < 10_000
 
     async def run() -> None:
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -16,7 +16,7 @@
 import pytest
 
 from honeybarrow.soak.fault_shim import FaultShim, SystemCall
-from tests.platform import Platform
+from tests.platform_harness import PlatformHarness
 from tests.test_clock_steps import RESULT_SLACK_S, has_final_result, run_with_faults
 
 MESSAGE_COUNT = 40
@@ -28,14 +28,14 @@
 EXHAUSTION_ERRNOS = (errno.EMFILE, errno.ENFILE, *MEMORY_ERRNOS)
 
 
-def cpu_seconds(platform: Platform) -> float:
+def cpu_seconds(platform: PlatformHarness) -> float:
     """Return the CPU time used by the forwarder so far, in seconds."""
     assert platform.process is not None
     fields = Path(f"/proc/{platform.process.pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
-async def try_submit(platform: Platform, message: str, cls: str) -> int:
+async def try_submit(platform: PlatformHarness, message: str, cls: str) -> int:
     """Submit a message; return the status, or 0 if no answer arrived in time."""
     try:
         return await asyncio.wait_for(platform.submit(message, cls, f"{TIME_LEFT_S * 1000:.0f}m"), 2.0)
@@ -43,7 +43,7 @@
         return 0
 
 
-async def submit_during_fault(platform: Platform) -> dict[str, float]:
+async def submit_during_fault(platform: PlatformHarness) -> dict[str, float]:
     """Submit messages of each class during the fault; return the acceptance time by message."""
     accepted: dict[str, float] = {}
 
@@ -61,7 +61,7 @@
     return accepted
 
 
-async def check_accepted_messages(platform: Platform, accepted: dict[str, float]) -> None:
+async def check_accepted_messages(platform: PlatformHarness, accepted: dict[str, float]) -> None:
     """Check that accepted messages get results in time and non-idempotent ones are attempted once at most."""
     for message, accepted_s in accepted.items():
         remaining_s = accepted_s + TIME_LEFT_S + RESULT_SLACK_S - time.monotonic()
@@ -95,7 +95,7 @@
 def test_a_failing_call_costs_at_most_its_own_request(
     tmp_path: Path, call: SystemCall, errnos: tuple[int, ...], share: float
 ) -> None:
-    async def scenario(platform: Platform, shim: FaultShim) -> None:
+    async def scenario(platform: PlatformHarness, shim: FaultShim) -> None:
         if call in (SystemCall.SOCKET, SystemCall.CONNECT):  # forces a connect for each call
             platform.choose_answer = lambda message: CLOSING_ANSWER
         shim.fail(call, errnos, share, FAULT_DURATION_S)
@@ -110,7 +110,7 @@
     run_with_faults(tmp_path, scenario)
 
 
-async def check_incomplete_request_times_out(platform: Platform) -> None:
+async def check_incomplete_request_times_out(platform: PlatformHarness) -> None:
     """Check that timers still work: an incomplete request is answered with 408 within 3 s."""
     host, _, port = platform.listen.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
@@ -121,7 +121,7 @@
 
 @pytest.mark.parametrize("call", [SystemCall.SEND, SystemCall.RECV])
 def test_short_transfers_lose_nothing(tmp_path: Path, call: SystemCall) -> None:
-    async def scenario(platform: Platform, shim: FaultShim) -> None:
+    async def scenario(platform: PlatformHarness, shim: FaultShim) -> None:
         shim.fail(call, short_share=0.9, seconds=FAULT_DURATION_S)
         accepted = await submit_during_fault(platform)
         shim.recover()
@@ -144,7 +144,7 @@
 def test_persistently_failing_call_causes_no_busy_loop(
     tmp_path: Path, call: SystemCall, errnos: tuple[int, ...]
 ) -> None:
-    async def scenario(platform: Platform, shim: FaultShim) -> None:
+    async def scenario(platform: PlatformHarness, shim: FaultShim) -> None:
         platform.choose_answer = lambda message: None
         assert await platform.submit("m1", left="2000m") == 202
         shim.fail(call, errnos)
@@ -161,7 +161,7 @@
 
 
 def test_descriptors_are_released_after_faults(tmp_path: Path) -> None:
-    async def scenario(platform: Platform, shim: FaultShim) -> None:
+    async def scenario(platform: PlatformHarness, shim: FaultShim) -> None:
         assert platform.process is not None
         folder = f"/proc/{platform.process.pid}/fd"
         assert await platform.submit("first") == 202
@@ -181,7 +181,7 @@
 
 
 def test_unavailable_port_only_delays_start(tmp_path: Path) -> None:
-    async def scenario(platform: Platform, shim: FaultShim) -> None:
+    async def scenario(platform: PlatformHarness, shim: FaultShim) -> None:
         assert await platform.submit("m1", left="8000m") == 202
         await platform.end_forwarder(signal.SIGKILL)
         shim.fail(SystemCall.BIND, (errno.EADDRINUSE, errno.EADDRNOTAVAIL, *MEMORY_ERRNOS), seconds=1.0)
@@ -196,7 +196,7 @@
 def test_a_configuration_that_can_not_be_read_now_is_read_later(tmp_path: Path) -> None:
     """The file appears 0.5 s late, both after SIGHUP and at a start."""
 
-    async def scenario(platform: Platform, shim: FaultShim) -> None:
+    async def scenario(platform: PlatformHarness, shim: FaultShim) -> None:
         assert platform.process is not None
         config, moved = platform.folder / "config.json", platform.folder / "moved.json"
         platform.discovery_name = "second"
