--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -91,7 +91,7 @@
 
 def remove_last_start() -> None:
     patch_decision(
-        backoff, "latest_start_us", lambda old: lambda message, useful_us: message.expires_us + 2_000_000
+        backoff, "latest_start_us", lambda old: lambda message, min_useful_us: message.expires_us + 2_000_000
     )
 
 
--- a/honeybarrow/policy/admission.py
+++ b/honeybarrow/policy/admission.py
@@ -151,7 +151,7 @@
 def _eligible_runs(state: SenderState, destination: Destination) -> Iterator[Iterator[tuple[float, Message]]]:
     """Yield the eligible messages as runs of (weight, message) pairs in descending order of weight."""
     # Pressure is divided by slot time, so that slow destinations do not hold slots that quick ones need.
-    slot_us = health.useful_us(destination)
+    slot_us = health.min_useful_us(destination)
     if not state.is_deadline_ordered:
         due = [each for each in destination.waiting if _is_eligible(state, each)]
         yield _with_weights(state, slot_us, sorted(due, key=partial(pressure, state), reverse=True))
@@ -246,7 +246,7 @@
         or message.destination is not endpoint.destination  # wrong destination
         or not _can_record_start(state, message)  # no durable record of the start
         or not endpoint.is_usable  # draining or removed
-        or endpoint.scope.backoff_until_us > now  # Retry-After
+        or endpoint.scope.retry_after_until_us > now  # Retry-After
         or now > latest_start_us(message, DEADLINE_MARGIN_US)  # past the hard cap
         or (is_bound and endpoint.zone != message.ambiguous_zone)  # the key is unknown in other zones
         or (key is not None and (is_cooling_down or state.order_queues[key][0] is not message))
--- a/honeybarrow/policy/backoff.py
+++ b/honeybarrow/policy/backoff.py
@@ -62,13 +62,13 @@
     return spec.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and spec.key_scope == "all"
 
 
-def latest_start_us(message: Message, useful_us: int) -> int:
+def latest_start_us(message: Message, min_useful_us: int) -> int:
     """Return the hard cap, the latest time at which an attempt may start; -1 if none may start any more.
 
-    An attempt needs ``useful_us`` before the message expires. A retry of an ambiguous message with an
+    An attempt needs ``min_useful_us`` before the message expires. A retry of an ambiguous message with an
     idempotency key has to start within the key window, and an ambiguous non-idempotent message has no retry.
     """
-    latest, spec = message.expires_us - useful_us, message.message_class
+    latest, spec = message.expires_us - min_useful_us, message.message_class
     if is_ambiguous(message) and spec.idempotency is Idempotency.NON_IDEMPOTENT:
         return -1
     if is_ambiguous(message) and spec.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
--- a/honeybarrow/policy/endpoint_health.py
+++ b/honeybarrow/policy/endpoint_health.py
@@ -36,7 +36,7 @@
 # Backoff relative to the time that a failed connect took. It is long, because most senders of a large fleet
 # see no other failure of a silent destination before it returns.
 SLOW_CONNECT_BACKOFF_MULTIPLE = 8.0
-ANSWERS_PER_SIGN = 15  # answers, by sender, that outweigh one failure that suggests a full connection table
+ANSWERS_PER_EVIDENCE = 15  # answers, by sender, that outweigh one sign of a full connection table
 MIN_STALE_IDLE_US = 400_000  # idle time after which a connection may have been dropped without notice
 STALE_PERIOD_US = 15_000_000  # how long idle connections are closed after such a drop
 
@@ -53,7 +53,7 @@
     return int(usual * latency_multiple(endpoint))
 
 
-def useful_us(destination: records.Destination) -> int:
+def min_useful_us(destination: records.Destination) -> int:
     """Return the shortest time before expiry with which an attempt is worth starting."""
     latencies = [e.latency_us for e in destination.endpoints if e.is_usable]
     return int(min(latencies, default=INITIAL_LATENCY_US)) + DEADLINE_MARGIN_US
@@ -72,7 +72,7 @@
     ones if the response timeout fits into the key window.
     """
     left, spec = message.expires_us - state.now - DEADLINE_MARGIN_US, message.message_class
-    half = max(left // 2, min(left, useful_us(message.destination)))
+    half = max(left // 2, min(left, min_useful_us(message.destination)))
     timeout = response_timeout_us(call.endpoint)
     window = min(message.ambiguous_since_us, state.now) + spec.key_window_us - state.now
     fits = spec.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and int(window * KEY_WINDOW_SHARE) >= timeout
@@ -86,7 +86,7 @@
 
 def scope_opens_us(scope: records.RateLimitScope) -> int:
     """Return when Retry-After, failure backoff and rate limit of a scope permit the next call."""
-    return max(scope.backoff_until_us, scope.rest_until_us, scope.limiter.next_send_us())
+    return max(scope.retry_after_until_us, scope.failure_backoff_until_us, scope.limiter.next_send_us())
 
 
 def opens_us(state: SenderState, endpoint: EndpointRecord) -> int:
@@ -126,11 +126,11 @@
     change_health(endpoint, EndpointHealth.EJECTED, state.now)
     later = state.now + int(call_interval_us(state, endpoint) * state.rng.uniform(0.2, 1.0))
     endpoint.next_call_us = (
-        endpoint.scope.rest_until_us if endpoint.scope.announced_reopen_us < NEVER else later
+        endpoint.scope.failure_backoff_until_us if endpoint.scope.announced_reopen_us < NEVER else later
     )
 
 
-def rest_until_us(state: SenderState, scope: records.RateLimitScope, silent_us: int = 0) -> int:
+def failure_backoff_until_us(state: SenderState, scope: records.RateLimitScope, silent_us: int = 0) -> int:
     """Return a random time for the next call to a scope after a failure or a Retry-After.
 
     A cold destination would collapse if all senders sent the backlog of an outage at its end. Calls are
@@ -142,7 +142,7 @@
     start = settings.start_capacity
     slope = max(0.0, 1.0 - start) / max(warm_up, 1e-6)
     limit, is_large_fleet = known_limit(state, scope), settings.senders > MAX_SMALL_FLEET_SENDERS
-    opens = max(state.now, scope.backoff_until_us)
+    opens = max(state.now, scope.retry_after_until_us)
     rest = max(
         FAILURE_BACKOFF_MULTIPLE * (opens - min(scope.failing_since_us, opens)),
         SLOW_CONNECT_BACKOFF_MULTIPLE * silent_us,
@@ -192,7 +192,7 @@
         state.actions.append(CloseIdleConnections(endpoint.target))
 
 
-def learn(state: SenderState, call: Call, event: AttemptFinished) -> None:
+def record_outcome(state: SenderState, call: Call, event: AttemptFinished) -> None:
     """Update rate limit and endpoint health from the outcome of a call."""
     endpoint, scope, status = call.endpoint, call.endpoint.scope, event.status
     read_load_report(state, scope, event.load_report)
@@ -219,7 +219,7 @@
         is_sure = status is AttemptStatus.CONNECT_FAILED and not is_full
         endpoint.failure_streak += is_newest * (MAX_FAILURE_STREAK - 1 if is_sure else 1)
     if endpoint.health is EndpointHealth.EJECTED:
-        endpoint.next_call_us = max(endpoint.next_call_us, scope.rest_until_us)
+        endpoint.next_call_us = max(endpoint.next_call_us, scope.failure_backoff_until_us)
         return
     if status is not AttemptStatus.FULL:
         endpoint.outage_since_us = min(endpoint.outage_since_us, call.sent_us)
@@ -238,8 +238,8 @@
     rejecting_us = state.now - scope.rejecting_since_us
     is_closed = scope.rejection_streak >= MIN_CLOSED_REJECTIONS and rejecting_us > MAX_LIMIT_PERIOD_US
     is_announced = retry_after_us > MAX_LIMIT_PERIOD_US
-    scope.announced_reopen_us = scope.backoff_until_us if is_announced else NEVER
-    scope.rest_until_us = rest_until_us(state, scope)
+    scope.announced_reopen_us = scope.retry_after_until_us if is_announced else NEVER
+    scope.failure_backoff_until_us = failure_backoff_until_us(state, scope)
     for endpoint in scope.endpoints if is_closed or is_announced else ():
         eject(state, endpoint, "rejects_all")
 
@@ -253,7 +253,7 @@
     endpoint.slow_loss_streak += is_fresh and is_slow and status is not AttemptStatus.ERROR
     if is_fresh:
         silent_us = late_us if status is AttemptStatus.CONNECT_FAILED else 0
-        scope.rest_until_us = rest_until_us(state, scope, silent_us)
+        scope.failure_backoff_until_us = failure_backoff_until_us(state, scope, silent_us)
 
 
 def _on_answer(state: SenderState, call: Call, status: AttemptStatus) -> None:
@@ -292,8 +292,8 @@
     """Weigh an answer against failures before it that suggest full tables or dropped connections."""
     has_full_table = is_young and endpoint.last_connect_failure_us >= endpoint.outage_since_us
     is_stale = is_young and endpoint.has_idle_loss
-    for key, has_evidence in ((endpoint.destination.kind.name, has_full_table), (None, is_stale)):
-        weight = state.connection_evidence[key] + has_evidence - 1 / ANSWERS_PER_SIGN / state.settings.senders
+    for key, was_seen in ((endpoint.destination.kind.name, has_full_table), (None, is_stale)):
+        weight = state.connection_evidence[key] + was_seen - 1 / ANSWERS_PER_EVIDENCE / state.settings.senders
         state.connection_evidence[key] = min(10, max(-2, weight))
     endpoint.last_connect_failure_us, endpoint.has_idle_loss = 0, False
     if is_stale and state.connection_evidence[None] > 0:
--- a/honeybarrow/policy/lifecycle.py
+++ b/honeybarrow/policy/lifecycle.py
@@ -9,7 +9,7 @@
 from honeybarrow.events import AttemptFinished, AttemptStatus, MessageArrived
 from honeybarrow.policy import backoff, endpoint_health
 from honeybarrow.policy.backoff import DEADLINE_MARGIN_US, can_return, latest_start_us
-from honeybarrow.policy.endpoint_health import useful_us
+from honeybarrow.policy.endpoint_health import min_useful_us
 from honeybarrow.policy.rate_limit import measure_demand, new_scope
 from honeybarrow.sender_state import SECOND, Call, Message, SenderState, add_waiting, complete
 from honeybarrow.settings import Idempotency
@@ -81,10 +81,10 @@
     if event.status in AMBIGUOUS and not event.not_run:
         _record_ambiguous(state, message, call, event.status)
     scope = call.endpoint.scope
-    scope.backoff_until_us = max(scope.backoff_until_us, state.now + event.retry_after_us)
+    scope.retry_after_until_us = max(scope.retry_after_until_us, state.now + event.retry_after_us)
     if not call.is_outcome_recorded and event.status not in (AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT):
         call.is_outcome_recorded = True
-        endpoint_health.learn(state, call, event)
+        endpoint_health.record_outcome(state, call, event)
     endpoint_health.close_idle_connections(state, call.endpoint)
     message.is_rejected |= event.status is AttemptStatus.REJECTED
     if event.is_completed or message.is_completed:
@@ -114,7 +114,7 @@
     at = state.now + backoff.backoff_us(retries, state.rng)
     is_past_objective = at > message.created_us + spec.latency_objective_us
     is_soft_capped = retries > state.min_retries[spec.name] and is_past_objective
-    is_hard_capped = at > latest_start_us(message, useful_us(message.destination))
+    is_hard_capped = at > latest_start_us(message, min_useful_us(message.destination))
     if retries >= state.settings.max_attempts or is_soft_capped or is_hard_capped:
         give_final_result(state, message)
         return
@@ -166,7 +166,7 @@
 
 def _schedule_deadline_check(state: SenderState, message: Message) -> None:
     """Schedule a check of the message right after the latest useful start of an attempt."""
-    latest = latest_start_us(message, useful_us(message.destination))
+    latest = latest_start_us(message, min_useful_us(message.destination))
     heapq.heappush(state.message_timers, (max(state.now, latest) + 1, message.id))
 
 
@@ -175,7 +175,7 @@
     while state.message_timers and state.message_timers[0][0] <= state.now:
         message = state.messages.get(heapq.heappop(state.message_timers)[1])
         if message and not message.is_completed and message.in_flight == 0:
-            if state.now > latest_start_us(message, useful_us(message.destination)):
+            if state.now > latest_start_us(message, min_useful_us(message.destination)):
                 give_final_result(state, message)
             else:
                 _schedule_deadline_check(state, message)
--- a/honeybarrow/sender_state.py
+++ b/honeybarrow/sender_state.py
@@ -100,12 +100,12 @@
     limiter: RateLimiter
     remaining_share: float  # moving average of the unused share of the limit, as reported
     endpoints: list[EndpointRecord] = field(default_factory=list)
-    backoff_until_us: int = 0  # end of the Retry-After
+    retry_after_until_us: int = 0  # end of the Retry-After
     listed_limit: float = 0.0  # calls per second; 0 if unknown
     reported_limit: float = 0.0  # calls per second; 0 if unknown
     announced_reopen_us: int = NEVER  # end of a closure announced by Retry-After
     failing_since_us: int = NEVER  # send time of the first failed call since the last success
-    rest_until_us: int = 0  # end of the randomized backoff after a failure
+    failure_backoff_until_us: int = 0  # end of the randomized backoff after a failure
     rejecting_since_us: int = NEVER  # time of the first rejection since the last success
     rejection_streak: int = 0  # consecutive rejections
 
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -154,7 +154,7 @@
     def on_attempt_finished(state: Any, event: AttemptFinished) -> None:
         old(state, replace(event, retry_after_us=0))
         for destination in state.destinations.values():
-            destination.shared_scope.rest_until_us = 0
+            destination.shared_scope.failure_backoff_until_us = 0
 
     return on_attempt_finished
 
@@ -178,7 +178,9 @@
 def remove_overload_protection() -> None:
     """Remove endpoint health, rate limits, rests, the slot limit and exponential backoff."""
     patch_decision(endpoint_health, "health_opens_us", lambda old: lambda state, endpoint: state.now)
-    patch_decision(endpoint_health, "rest_until_us", lambda old: lambda state, scope, silent_us=0: state.now)
+    patch_decision(
+        endpoint_health, "failure_backoff_until_us", lambda old: lambda state, scope, silent_us=0: state.now
+    )
     patch_decision(endpoint_health, "eject", lambda old: lambda state, endpoint, reason: None)
     patch(rate_limit.RateLimiter, "on_rejection", lambda old: lambda self, *args: None)
     admission.MAX_SLOT_MULTIPLE = 1000.0
@@ -187,7 +189,9 @@
 
 def resend_non_idempotent() -> None:
     patch_decision(
-        backoff, "latest_start_us", lambda old: lambda message, useful_us: message.expires_us - useful_us
+        backoff,
+        "latest_start_us",
+        lambda old: lambda message, min_useful_us: message.expires_us - min_useful_us,
     )
     patch_decision(backoff, "can_return", lambda old: lambda message: True)
     disable_guard()
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -31,8 +31,8 @@
     """Checks that the test above detects senders that all return as early as permitted."""
     monkeypatch.setattr(
         endpoint_health,
-        "rest_until_us",
-        lambda state, scope, silent_us=0: max(state.now, scope.backoff_until_us),
+        "failure_backoff_until_us",
+        lambda state, scope, silent_us=0: max(state.now, scope.retry_after_until_us),
     )
     monkeypatch.setattr(endpoint_health, "call_interval_us", lambda state, endpoint: 0)
     assert max(play(Return(200, "even", outage, seed)).worst for seed in range(4)) > 1.0
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -208,10 +208,10 @@
 
     latest_start_us = backoff.latest_start_us
 
-    def ignore_ambiguity(message: sender_state.Message, useful_us: int) -> int:
+    def ignore_ambiguity(message: sender_state.Message, min_useful_us: int) -> int:
         """Allow retries of messages that may have run."""
         ambiguous_since_us, message.ambiguous_since_us = message.ambiguous_since_us, sender_state.NEVER
-        start_us = latest_start_us(message, useful_us)
+        start_us = latest_start_us(message, min_useful_us)
         message.ambiguous_since_us = ambiguous_since_us
         return start_us
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -762,11 +762,11 @@
     driver.submit_message("m")
     driver.wait(2 * SECOND)
     driver.finish_attempt("m", AttemptStatus.TIMEOUT)
-    assert scope.rest_until_us <= driver.now
+    assert scope.failure_backoff_until_us <= driver.now
     assert driver.wait_until_sent("m", SECOND)
     driver.wait(2 * SECOND)
     driver.finish_attempt("m", AttemptStatus.TIMEOUT)
-    assert scope.rest_until_us > driver.now
+    assert scope.failure_backoff_until_us > driver.now
 
 
 def test_one_slow_connect_failure_spreads_the_next_calls_over_most_of_the_warm_up() -> None:
@@ -794,7 +794,7 @@
     driver.submit_message("m")
     driver.wait(SECOND)
     driver.finish_attempt("m", AttemptStatus.CONNECT_FAILED)
-    assert driver.sender.state.endpoints["a:1"].scope.rest_until_us <= driver.now
+    assert driver.sender.state.endpoints["a:1"].scope.failure_backoff_until_us <= driver.now
     assert driver.wait_until_sent("m", SECOND)
 
 
