--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.decisions [--against CHECKOUT] [--quick] [--plot FILE.png]
 
-Prints us of CPU a message, the worst single batch, how often pressure is computed and an endpoint chosen for
+Prints us of CPU a message, the worst single batch, how often urgency is computed and an endpoint chosen for
 each message (counts that no machine changes), and bytes a destination and a message waiting. With --against
 the benchmark of another checkout runs right after it, with the same options.
 """
@@ -117,7 +117,7 @@
 
 def run(load: Load, seed: int = 1) -> Figures:
     """Drive one Sender through the load."""
-    with counted(("pressure", "choose_endpoint")) as counts:
+    with counted(("urgency", "choose_endpoint")) as counts:
         return _run(load, seed, counts)
 
 
@@ -187,7 +187,7 @@
         messages,
         cpu / messages * 1e6,
         worst * 1e3,
-        counts["pressure"] / messages,
+        counts["urgency"] / messages,
         counts["choose_endpoint"] / messages,
         answers,
         most,
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -135,7 +135,7 @@
     "module: ambiguous is retriable": lambda: patch_decision(
         backoff, "can_return", lambda old: lambda message: True
     ),
-    "module: nothing is due": lambda: patch_decision(lifecycle, "check_due", return_always(None)),
+    "module: nothing is due": lambda: patch_decision(lifecycle, "check_message_timers", return_always(None)),
     "forwarder: rejections not answered": lambda: patch(Forwarder, "_complete", mutants.drop_rejections),
     "forwarder: replies late": reply_late,
     "forwarder: failures as rejections": lambda: patch(Forwarder, "_complete", mutants.reject_failures),
--- a/honeybarrow/policy/admission.py
+++ b/honeybarrow/policy/admission.py
@@ -1,6 +1,6 @@
 """Selection of the next message to send and of its endpoint.
 
-Messages are sent in descending order of pressure, the utility that a message is about to lose, divided by the
+Messages are sent in descending order of urgency, the utility that a message is about to lose, divided by the
 time for which it occupies a call slot.
 """
 
@@ -17,13 +17,13 @@
 from honeybarrow.settings import Idempotency, UtilityDecay
 
 MAX_SLOT_MULTIPLE = 2.0  # most calls in flight at one destination, as a multiple of the free slots
-MIN_PRESSURE = 1e-3  # pressure of a message that is not urgent, or that can no longer succeed
+MIN_URGENCY = 1e-3  # of a message that is not urgent, or that can no longer succeed
 NEEDED_LATENCIES = 2.5  # shortest useful time before the deadline, in latencies of the destination
-OBJECTIVE_HORIZON_US = 1_000_000  # time constant of the pressure that precedes the latency objective
-DEADLINE_HORIZON_US = 2_000_000  # time constant of the pressure that precedes the deadline
+OBJECTIVE_HORIZON_US = 1_000_000  # time constant of the urgency that precedes the latency objective
+DEADLINE_HORIZON_US = 2_000_000  # time constant of the urgency that precedes the deadline
 
 
-def pressure(state: SenderState, message: Message) -> float:
+def urgency(state: SenderState, message: Message) -> float:
     """Return the utility per second that the message loses by waiting, scaled by its weight.
 
     The utility decays once the latency objective has passed, and the rest is lost at the deadline.
@@ -33,16 +33,16 @@
     slope = (1.0 - spec.late_utility) / max(1, spec.deadline_us - spec.latency_objective_us)
     if decay is UtilityDecay.HALVING:
         slope = 0.7 * utility_at(spec, decay, state.now - message.created_us) / spec.latency_objective_us
-    # The deadline adds pressure only while an attempt can still succeed; later the message goes last.
+    # The deadline adds urgency only while an attempt can still succeed; later the message goes last.
     # Otherwise a backlog would spend its calls on messages that are about to expire.
     spare_us = (
         message.expires_us - state.now - health.expected_duration_us(message.destination, NEEDED_LATENCIES)
     )
     if spare_us < 0:
-        return message.weight * MIN_PRESSURE
+        return message.weight * MIN_URGENCY
     loss = slope * SECOND * math.exp(-max(0, slack_us) / OBJECTIVE_HORIZON_US)
     loss += spec.late_utility * math.exp(-spare_us / DEADLINE_HORIZON_US)
-    return message.weight * (loss + MIN_PRESSURE)
+    return message.weight * (loss + MIN_URGENCY)
 
 
 def refresh(state: SenderState) -> None:
@@ -77,7 +77,7 @@
                 continue
         opens_us = min(opens_us, endpoint_opens_us)
         check_us = min(check_us, endpoint_opens_us) if endpoint_opens_us > state.now else check_us
-    destination.pressure_bound = math.inf
+    destination.urgency_bound = math.inf
     state.saturated_destinations.drop(destination.index)
     state.ready_destinations.put_if(destination.index, -math.inf, destination, opens_us <= state.now)
     state.blocked_destinations.put_if(destination.index, opens_us, destination, state.now < opens_us < NEVER)
@@ -85,17 +85,17 @@
 
 
 def admit(state: SenderState) -> None:
-    """Start calls for the waiting messages of highest pressure while slots, rates and endpoints allow."""
+    """Start calls for the waiting messages of highest urgency while slots, rates and endpoints allow."""
     refresh(state)
     free = state.settings.slots - state.slots_used
     if free <= 0 or not (state.ready_destinations or state.saturated_destinations):
         return
     for destination in state.saturated_destinations.take_up_to(math.ceil(MAX_SLOT_MULTIPLE * free) - 1):
-        state.ready_destinations.put(destination.index, -destination.pressure_bound, destination)
+        state.ready_destinations.put(destination.index, -destination.urgency_bound, destination)
     unplaced: dict[int, int] = {}  # by destination: number of messages for which no endpoint is open
     # The merge evaluates a destination only if its bound exceeds the best message found so far.
     candidates = HeaviestFirstMerge(
-        state.ready_destinations, partial(_eligible_runs, state), partial(_pressure_bound, state)
+        state.ready_destinations, partial(_eligible_runs, state), partial(_urgency_bound, state)
     )
     for message in candidates:
         destination = message.destination
@@ -110,7 +110,7 @@
         elif message.in_flight == 0:
             unplaced[destination.index] = unplaced.get(destination.index, 0) + 1
     for index, (destination, max_weight) in candidates.weighed.items():
-        destination.pressure_bound = _pressure_bound(state, max_weight)
+        destination.urgency_bound = _urgency_bound(state, max_weight)
         if index not in state.changed_destinations and index not in state.saturated_destinations:
             _reschedule(state, destination, max_weight, unplaced.get(index, 0))
 
@@ -136,28 +136,28 @@
         times.append(state.scheduled_checks.key(destination.index, NEVER))
         state.scheduled_checks.put(destination.index, min(at for at in times if at > state.now), destination)
     else:
-        state.ready_destinations.put(destination.index, -destination.pressure_bound, destination)
+        state.ready_destinations.put(destination.index, -destination.urgency_bound, destination)
 
 
-def _pressure_bound(state: SenderState, max_pressure: float) -> float:
-    """Return a bound on the logarithm of a pressure that is now at most ``max_pressure``.
+def _urgency_bound(state: SenderState, max_urgency: float) -> float:
+    """Return a bound on the logarithm of an urgency that is now at most ``max_urgency``.
 
-    Pressures grow at most exponentially with the shorter horizon. The bound subtracts that growth, so that it
+    Urgencies grow at most exponentially with the shorter horizon. The bound subtracts that growth, so that it
     holds at any later time and bounds of different times can be compared.
     """
-    return math.log(max(max_pressure, 1e-300)) - state.now / min(OBJECTIVE_HORIZON_US, DEADLINE_HORIZON_US)
+    return math.log(max(max_urgency, 1e-300)) - state.now / min(OBJECTIVE_HORIZON_US, DEADLINE_HORIZON_US)
 
 
 def _eligible_runs(state: SenderState, destination: Destination) -> Iterator[Iterator[tuple[float, Message]]]:
     """Yield the eligible messages as runs of (weight, message) pairs in descending order of weight."""
-    # Pressure is divided by slot time, so that slow destinations do not hold slots that quick ones need.
+    # Urgency is divided by slot time, so that slow destinations do not hold slots that quick ones need.
     slot_us = health.min_useful_us(destination)
     if not state.is_deadline_ordered:
         due = [each for each in destination.waiting if _is_eligible(state, each)]
-        yield _with_weights(state, slot_us, sorted(due, key=partial(pressure, state), reverse=True))
+        yield _with_weights(state, slot_us, sorted(due, key=partial(urgency, state), reverse=True))
         return
-    # Within a group the pressure grows towards the deadline. Messages that can no longer succeed all have the
-    # same minimum pressure, so they form runs by weight.
+    # Within a group the urgency grows towards the deadline. Messages that can no longer succeed all have the
+    # same minimum urgency, so they form runs by weight.
     too_late: dict[float, list[tuple[int, Message]]] = {}
     needed_until_us = state.now + health.expected_duration_us(destination, NEEDED_LATENCIES)
     for late, run in destination.waiting.split(needed_until_us):
@@ -171,12 +171,12 @@
 def _with_weights(
     state: SenderState, slot_us: int, run: Iterable[Message]
 ) -> Iterator[tuple[float, Message]]:
-    """Yield the eligible messages of a run with their pressure by slot time."""
+    """Yield the eligible messages of a run with their urgency by slot time."""
     for message in run:
         if message.destination.index in state.saturated_destinations:
             return
         if _is_eligible(state, message):
-            yield pressure(state, message) / slot_us, message
+            yield urgency(state, message) / slot_us, message
 
 
 def _is_eligible(state: SenderState, message: Message) -> bool:
@@ -227,7 +227,7 @@
     kind, others = message.destination.kind, list[Message]()
     if kind.max_batch_size > 1 and endpoint.health is not EndpointHealth.EJECTED:
         due = [m for m in message.destination.waiting if m.retry_at_us <= state.now and m is not message]
-        others = sorted(due, key=partial(pressure, state), reverse=True)[: kind.max_batch_size - 1]
+        others = sorted(due, key=partial(urgency, state), reverse=True)[: kind.max_batch_size - 1]
     is_long_idle = state.now - endpoint.idle_since_us > health.MIN_STALE_IDLE_US and not endpoint.calls
     call = Call(endpoint, state.now, endpoint.keeps_connections and is_long_idle)
     for each in [message, *others]:
--- a/honeybarrow/policy/lifecycle.py
+++ b/honeybarrow/policy/lifecycle.py
@@ -170,7 +170,7 @@
     heapq.heappush(state.message_timers, (max(state.now, latest) + 1, message.id))
 
 
-def check_due(state: SenderState) -> None:
+def check_message_timers(state: SenderState) -> None:
     """Process due message timers: give the final result of messages past the hard cap, recheck the others."""
     while state.message_timers and state.message_timers[0][0] <= state.now:
         message = state.messages.get(heapq.heappop(state.message_timers)[1])
--- a/honeybarrow/policy/sender.py
+++ b/honeybarrow/policy/sender.py
@@ -59,7 +59,7 @@
         state.actions = []
         for event in events:
             self._dispatch(event)
-        lifecycle.check_due(state)
+        lifecycle.check_message_timers(state)
         admission.admit(state)
         lifecycle.shed_load(state)
         self._set_wake_timer()
--- a/honeybarrow/sender_state.py
+++ b/honeybarrow/sender_state.py
@@ -122,7 +122,7 @@
     waiting: GroupedSortedLists[Message] = field(default_factory=GroupedSortedLists)
     demand: float = 0.0  # moving average of arrivals, in messages per second
     demand_updated_us: int = 0
-    pressure_bound: float = math.inf  # upper bound, see honeybarrow.policy.admission
+    urgency_bound: float = math.inf  # upper bound, see honeybarrow.policy.admission
 
 
 @dataclass(slots=True)
@@ -152,7 +152,7 @@
     kinds: dict[str, DestinationKind]
     remaining_field_index: int  # position of the remaining share in load reports; -1 if absent
     limit_field_index: int  # position of the limit in load reports; -1 if absent
-    is_deadline_ordered: bool  # within a group, the pressure grows towards the deadline
+    is_deadline_ordered: bool  # within a group, the urgency grows towards the deadline
     quotas: dict[str, TenantQuota]
     now: int = 0
     is_log_available: bool = True  # attempt starts can be recorded
@@ -181,7 +181,7 @@
     scheduled_checks: IndexedPriorityQueue[Destination] = field(default_factory=IndexedPriorityQueue)
     # Destinations that may not be sent to, by the time at which they open.
     blocked_destinations: IndexedPriorityQueue[Destination] = field(default_factory=IndexedPriorityQueue)
-    # Destinations that may be sent to, by their negated pressure bound.
+    # Destinations that may be sent to, by their negated urgency bound.
     ready_destinations: IndexedPriorityQueue[Destination] = field(default_factory=IndexedPriorityQueue)
     # Destinations at their cap of call slots, by calls in flight.
     saturated_destinations: IndexedPriorityQueue[Destination] = field(default_factory=IndexedPriorityQueue)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -501,13 +501,13 @@
     assert driver.sender.state.endpoints["a:1"].health is EndpointHealth.HEALTHY
 
 
-def test_messages_about_to_expire_have_less_pressure() -> None:
+def test_messages_about_to_expire_have_less_urgency() -> None:
     """Their calls would be cut off at expiry, and the destination would seem silent."""
     driver = make_driver()
     driver.submit_message("old", time_left_us=300_000)
     driver.submit_message("new", time_left_us=9 * SECOND)
     old, new = driver.sender.state.messages["old"], driver.sender.state.messages["new"]
-    assert admission.pressure(driver.sender.state, new) > admission.pressure(driver.sender.state, old)
+    assert admission.urgency(driver.sender.state, new) > admission.urgency(driver.sender.state, old)
 
 
 def test_no_late_message_is_skipped_when_several_are_sent_together() -> None:
