--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -85,8 +85,8 @@
     patch(ConnectionRace, "on_content_written", make)
 
 
-def skip_key_rest() -> None:
-    patch(Settings, "policy_settings", lambda old: lambda self: replace(old(self), ambiguous_key_rest_us=0))
+def skip_key_cooldown() -> None:
+    patch(Settings, "policy_settings", lambda old: lambda self: replace(old(self), order_key_cooldown_us=0))
 
 
 def remove_last_start() -> None:
@@ -125,7 +125,7 @@
     "module: ignores order keys": lambda: patch_decision(
         lifecycle, "on_message_arrived", mutants.ignore_order_keys
     ),
-    "module: order keys do not rest": skip_key_rest,
+    "module: order keys do not rest": skip_key_cooldown,
     "module: no slow start, no health checks": lambda: patch_decision(
         endpoint_health, "call_interval_us", return_always(0)
     ),
--- a/honeybarrow/config/schema.py
+++ b/honeybarrow/config/schema.py
@@ -332,7 +332,7 @@
         "collapse_multiple": "fall_multiple",
         "collapse_window_us": "fall",
         "warm_up_us": "cold",
-        "ambiguous_key_rest_us": "settle",
+        "order_key_cooldown_us": "settle",
     },
 ):
     """The parameters of the sending policy: microseconds, shares and multiples (``docs/decisions.md``)."""
@@ -345,7 +345,7 @@
     collapse_window_us: Positive = 3_000_000
     start_capacity: Share = 0.2
     warm_up_us: Positive = 9_000_000
-    ambiguous_key_rest_us: Micros = 300_000
+    order_key_cooldown_us: Micros = 300_000
 
 
 class ForwarderConfig(
@@ -468,5 +468,5 @@
             collapse_window_us=self.policy.collapse_window_us,
             start_capacity=self.policy.start_capacity,
             warm_up_us=self.policy.warm_up_us,
-            ambiguous_key_rest_us=self.policy.ambiguous_key_rest_us,
+            order_key_cooldown_us=self.policy.order_key_cooldown_us,
         )
--- a/honeybarrow/message_guard.py
+++ b/honeybarrow/message_guard.py
@@ -55,7 +55,7 @@
     WAITING = "the destination has told to wait"
     BEHIND_IN_ORDER = "an earlier message of its order key is open"
     BEHIND_ENDING = "the platform has not acknowledged the end of an earlier message of its order key"
-    KEY_RESTS = "its order key rests after an ambiguous attempt"
+    ORDER_KEY_COOLDOWN = "its order key rests after an ambiguous attempt"
     SHUTTING_DOWN = "the process ends before the attempt would"
     NOT_ENDED = "it has no final result"
     NOT_DELIVERED = "no attempt of it was answered as done"
@@ -81,7 +81,7 @@
     Refusal.WAITING: Rule.WAIT,
     Refusal.BEHIND_IN_ORDER: Rule.ORDER,
     Refusal.BEHIND_ENDING: Rule.ORDER,
-    Refusal.KEY_RESTS: Rule.ORDER,
+    Refusal.ORDER_KEY_COOLDOWN: Rule.ORDER,
     Refusal.SHUTTING_DOWN: Rule.DUPLICATE,
     Refusal.NOT_ENDED: Rule.LOST,
     Refusal.NOT_DELIVERED: Rule.LOST,
@@ -94,7 +94,7 @@
 _EXPECTED_AT_FORWARD = frozenset(
     (
         Refusal.ENDED, Refusal.EXPIRED, Refusal.KEY_WINDOW_OVER, Refusal.DRAINING, Refusal.WAITING,
-        Refusal.SHUTTING_DOWN, Refusal.BEHIND_ENDING, Refusal.KEY_RESTS,
+        Refusal.SHUTTING_DOWN, Refusal.BEHIND_ENDING, Refusal.ORDER_KEY_COOLDOWN,
     )
 )  # fmt: skip
 
@@ -170,7 +170,7 @@
         self.violation_counts: dict[Rule, int] = {}
         self._classes = {each.name: each for each in settings.classes}
         self._separate_kinds = frozenset(kind.name for kind in settings.kinds if kind.has_separate_routes)
-        self._order_key_pause_us = settings.ambiguous_key_rest_us
+        self._order_key_cooldown_us = settings.order_key_cooldown_us
         self._messages: dict[str, _TrackedMessage] = {}
         self._endpoints: dict[str, _TrackedEndpoint] = {}
         self._backoff_until_us: dict[str | int, int] = {}  # by endpoint scope
@@ -218,11 +218,11 @@
             tracked.is_recorded = True
 
     def on_attempt_finished(
-        self, message: str, now_us: int, not_run: bool, is_done: bool, pauses_order_key: bool
+        self, message: str, now_us: int, not_run: bool, is_done: bool, starts_key_cooldown: bool
     ) -> None:
         """Record the end of an attempt.
 
-        ``pauses_order_key`` is true after a timeout, a reset or a cancellation.
+        ``starts_key_cooldown`` is true after a timeout, a reset or a cancellation.
         """
         tracked = self._messages.get(message)
         if tracked is None:
@@ -240,9 +240,9 @@
             )
         is_ambiguous = tracked.ambiguous_since_us is not None
         tracked.state = MessageState.AMBIGUOUS if is_ambiguous else MessageState.WAITING
-        if pauses_order_key and not not_run and tracked.order_key is not None:
+        if starts_key_cooldown and not not_run and tracked.order_key is not None:
             pauses = {key: until for key, until in self._order_key_paused_until_us.items() if until > now_us}
-            pauses[tracked.order_key] = now_us + self._order_key_pause_us
+            pauses[tracked.order_key] = now_us + self._order_key_cooldown_us
             self._order_key_paused_until_us = pauses
 
     def on_retry_after(self, target: str, now_us: int, retry_after_us: int) -> None:
@@ -371,7 +371,7 @@
             return Refusal.BEHIND_ENDING if is_ending else Refusal.BEHIND_IN_ORDER
         is_first_attempt = tracked.state is MessageState.ACCEPTED
         is_paused = is_first_attempt and self._order_key_paused_until_us.get(key, 0) > now_us
-        return Refusal.KEY_RESTS if is_paused else None
+        return Refusal.ORDER_KEY_COOLDOWN if is_paused else None
 
     def may_repeat(self, message: str, now_us: int, zone: str = "") -> Refusal | None:
         """Return why no further attempt may run, regardless of the deadline, or ``None``."""
--- a/honeybarrow/policy/lifecycle.py
+++ b/honeybarrow/policy/lifecycle.py
@@ -101,7 +101,7 @@
         message.ambiguous_since_us, message.ambiguous_zone = call.sent_us, call.endpoint.zone
     if message.order_key is not None and status is not AttemptStatus.ERROR:
         state.key_cooldowns = {key: at for key, at in state.key_cooldowns.items() if at > state.now}
-        state.key_cooldowns[message.order_key] = state.now + state.settings.ambiguous_key_rest_us
+        state.key_cooldowns[message.order_key] = state.now + state.settings.order_key_cooldown_us
         heapq.heappush(state.message_timers, (state.key_cooldowns[message.order_key], message.id))
 
 
--- a/honeybarrow/rehearsal/rule_checker.py
+++ b/honeybarrow/rehearsal/rule_checker.py
@@ -252,7 +252,7 @@
     def _check_overlaps(self, order_key: str, calls: Sequence[OrderedCall]) -> None:
         for one, other in pairwise(calls):
             is_same = one.entry["message"] == other.entry["message"]
-            rest_us = self.rules.ambiguous_key_rest_us if one.is_ambiguous and not is_same else 0
+            rest_us = self.rules.order_key_cooldown_us if one.is_ambiguous and not is_same else 0
             if other.entry.at_us < one.end_us + rest_us - SLACK_US:
                 self._add_violation(
                     Rule.ORDER,
--- a/honeybarrow/settings.py
+++ b/honeybarrow/settings.py
@@ -108,7 +108,7 @@
     collapse_window_us: int = 2_000_000
     start_capacity: float = 0.2
     warm_up_us: int = 10_000_000
-    ambiguous_key_rest_us: int = 0
+    order_key_cooldown_us: int = 0
 
 
 def validate_settings(settings: Settings) -> None:
--- a/honeybarrow/wire_settings.py
+++ b/honeybarrow/wire_settings.py
@@ -146,7 +146,7 @@
         collapse_window_us=rules.integer("fallUs", 2_000_000),
         start_capacity=rules.number("startCapacity", 0.2),
         warm_up_us=rules.integer("coldUs", 10_000_000),
-        ambiguous_key_rest_us=rules.integer("settleAfterDoubtUs", 0),
+        order_key_cooldown_us=rules.integer("settleAfterDoubtUs", 0),
     )
 
 
--- a/tests/guard_search.py
+++ b/tests/guard_search.py
@@ -21,7 +21,7 @@
     MessageClass("pay", 200_000, 400_000, Idempotency.NON_IDEMPOTENT),
     MessageClass("step", 200_000, 400_000, is_ordered=True),
 )
-SETTINGS = Settings(CLASSES, (), slots=4, max_open=9, ambiguous_key_rest_us=STEP_US)
+SETTINGS = Settings(CLASSES, (), slots=4, max_open=9, order_key_cooldown_us=STEP_US)
 MAX_STALL_US = 20_000
 
 
@@ -156,7 +156,7 @@
             if history.ambiguous_since_us is None:
                 history.ambiguous_since_us = history.in_flight_since_us
             if history.message_class.is_ordered:
-                state.order_key_paused_until_us = state.now_us + SETTINGS.ambiguous_key_rest_us
+                state.order_key_paused_until_us = state.now_us + SETTINGS.order_key_cooldown_us
         history.in_flight_since_us, history.is_done = None, history.is_done or is_done
         state.backoff_until_us = max(state.backoff_until_us, state.now_us + retry_after_us)
         state.guard.on_attempt_finished(name, state.now_us, not_run, is_done, not is_done and not not_run)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -58,7 +58,7 @@
         "max_attempts": 12,
         "allows_retry_after": True,
         "max_retry_after_us": 3 * SECOND,
-        "ambiguous_key_rest_us": SECOND,
+        "order_key_cooldown_us": SECOND,
     }
     return Settings(**{**values, **changes})
 
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -171,8 +171,8 @@
         patch(MessageGuard, method, lambda old: lambda self, *args: None)
 
 
-def skip_key_rest(old: Any) -> Any:
-    return lambda self: replace(old(self), ambiguous_key_rest_us=0)
+def skip_key_cooldown(old: Any) -> Any:
+    return lambda self: replace(old(self), order_key_cooldown_us=0)
 
 
 def remove_overload_protection() -> None:
@@ -222,7 +222,7 @@
         "order",
         lambda: patch_decision_without_guard(lifecycle, "on_message_arrived", ignore_order_keys),
     ),
-    "skips the rest of order keys": ("order", lambda: patch(Settings, "policy_settings", skip_key_rest)),
+    "skips the rest of order keys": ("order", lambda: patch(Settings, "policy_settings", skip_key_cooldown)),
     "ignores Retry-After": (
         "wait",
         lambda: patch_decision_without_guard(lifecycle, "on_attempt_finished", ignore_retry_after),
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -258,7 +258,7 @@
     ended = driver.now
     driver.handle_events(MessageExpired("m"))
     assert driver.wait_until_sent("n")
-    assert driver.get_send_times("n")[0] >= ended + driver.settings.ambiguous_key_rest_us
+    assert driver.get_send_times("n")[0] >= ended + driver.settings.order_key_cooldown_us
 
 
 def test_calls_in_flight_never_exceed_the_slots() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -111,7 +111,7 @@
                 self.ambiguous[event.message] = (sent, self.zones[event.target])
             key = self.messages[event.message][3]
             if key is not None and event.status in (AttemptStatus.TIMEOUT, AttemptStatus.RESET):
-                self.key_cooldown_us[key] = self.now_us + self.settings.ambiguous_key_rest_us
+                self.key_cooldown_us[key] = self.now_us + self.settings.order_key_cooldown_us
             if event.retry_after_us:
                 destination = self.destinations[event.target]
                 self.retry_after_us[destination] = max(
