--- a/honeybarrow/delivery/attempts.py
+++ b/honeybarrow/delivery/attempts.py
@@ -96,7 +96,7 @@
         self.context.guard.on_attempt_started(message_id, self.target, self.context.now_us())
         is_repeatable = self.context.is_idempotent(self.message.submission.class_name)
         is_logged = self.context.message_log.record_attempt_started(
-            message_id, self.attempt, must_be_kept=not is_repeatable
+            message_id, self.attempt, is_required=not is_repeatable
         )
         return "" if is_logged or is_repeatable else NOT_RECORDED_REASON
 
@@ -171,7 +171,7 @@
     ) -> None:
         self.calls_in_flight -= 1
         self.context.log.error("call_crashed", error=failure.getErrorMessage())
-        state = self.context.guard.state_of(message.submission.message)
+        state = self.context.guard.get_state(message.submission.message)
         not_run = state is not MessageState.IN_FLIGHT  # no byte of the attempt was permitted
         outcome = AttemptOutcome(AttemptStatus.RESET, not_run, reason="fault")
         self._record_outcome(message, attempt, target, started_us, outcome)
--- a/honeybarrow/delivery/forwarder.py
+++ b/honeybarrow/delivery/forwarder.py
@@ -270,7 +270,7 @@
         self.log.error(
             "guard_violation",
             rule=violation.rule.value,
-            question=violation.question,
+            question=violation.check,
             refusal=violation.refusal.value,
             message=violation.message,
             state=violation.state.value if violation.state else None,
--- a/honeybarrow/message_guard.py
+++ b/honeybarrow/message_guard.py
@@ -26,7 +26,7 @@
 
 STALL_MARGIN_DIVISOR = 8  # the margin is at most 1/8 of a deadline or key window
 MAX_SHUTDOWN_US = 3_500_000  # from SIGTERM to the exit of the process; SIGKILL follows shortly after
-SHUTDOWN_QUIET_US = 1_500_000  # final part of the shutdown, in which only idempotent attempts start
+IDEMPOTENT_ONLY_SHUTDOWN_US = 1_500_000  # final part of the shutdown, in which only idempotent attempts start
 
 
 class Rule(enum.Enum):
@@ -113,7 +113,7 @@
 
     rule: Rule
     refusal: Refusal
-    question: str
+    check: str
     message: str
     state: MessageState | None
 
@@ -427,7 +427,7 @@
             return Refusal.RESULT_NOT_RECORDED
         return None
 
-    def state_of(self, message: str) -> MessageState:
+    def get_state(self, message: str) -> MessageState:
         """Return the state of a message; an unknown message has ended."""
         tracked = self._messages.get(message)
         return MessageState.ENDED if tracked is None else tracked.state
@@ -438,10 +438,10 @@
             return self._report(Refusal.REQUEST_OPEN, "close", "")
         return None
 
-    def _report(self, refusal: Refusal, question: str, message: str) -> Refusal:
+    def _report(self, refusal: Refusal, check: str, message: str) -> Refusal:
         rule, tracked = RULE_BY_REFUSAL[refusal], self._messages.get(message)
         self.violation_counts[rule] = self.violation_counts.get(rule, 0) + 1
-        violation = Violation(rule, refusal, question, message, tracked.state if tracked else None)
+        violation = Violation(rule, refusal, check, message, tracked.state if tracked else None)
         self._on_violation(violation)
         if self.is_strict:
             self.strict_violations.append(violation)
@@ -472,7 +472,7 @@
     may_start = (
         idempotency is Idempotency.IDEMPOTENT
         or shutdown_age_us is None
-        or shutdown_age_us < MAX_SHUTDOWN_US - SHUTDOWN_QUIET_US
+        or shutdown_age_us < MAX_SHUTDOWN_US - IDEMPOTENT_ONLY_SHUTDOWN_US
     )
     return None if may_start else Refusal.SHUTTING_DOWN
 
--- a/honeybarrow/node/write_ahead_log.py
+++ b/honeybarrow/node/write_ahead_log.py
@@ -188,10 +188,10 @@
             )
         )
 
-    def record_attempt_started(self, message: str, attempt: int, must_be_kept: bool = True) -> bool:
+    def record_attempt_started(self, message: str, attempt: int, is_required: bool = True) -> bool:
         """Commit the start of an attempt immediately and return whether it is on disk.
 
-        If the write fails and ``must_be_kept`` is set, the record is dropped and the attempt must not start.
+        If the write fails and ``is_required`` is set, the record is dropped and the attempt must not start.
         """
         # commit() resets the reservation, which messages of this turn that are still uncommitted need.
         reserved_bytes = self._reserved_bytes
@@ -199,7 +199,7 @@
         self.append(record)
         is_committed = self.commit()
         self._reserved_bytes = reserved_bytes
-        if not is_committed and must_be_kept:
+        if not is_committed and is_required:
             self._uncommitted = [each for each in self._uncommitted if each is not record]
         return is_committed
 
--- a/honeybarrow/ports.py
+++ b/honeybarrow/ports.py
@@ -170,10 +170,10 @@
     def record_accepted(self, submission: Any) -> None:
         """Record a message that was accepted."""
 
-    def record_attempt_started(self, message: str, attempt: int, must_be_kept: bool) -> bool:
+    def record_attempt_started(self, message: str, attempt: int, is_required: bool) -> bool:
         """Write the start of an attempt immediately; return whether that succeeded.
 
-        After a failure with ``must_be_kept`` the record is discarded, since the attempt does not start.
+        After a failure with ``is_required`` the record is discarded, since the attempt does not start.
         """
 
     def record_attempt_finished(
@@ -194,7 +194,7 @@
     def record_accepted(self, submission: Any) -> None:
         """Record nothing."""
 
-    def record_attempt_started(self, message: str, attempt: int, must_be_kept: bool) -> bool:
+    def record_attempt_started(self, message: str, attempt: int, is_required: bool) -> bool:
         """Record nothing and permit the attempt."""
         return True
 
--- a/tests/test_message_guard.py
+++ b/tests/test_message_guard.py
@@ -102,7 +102,7 @@
     assert guard.may_forward("m", "a", 0) is Refusal.IN_FLIGHT
     assert guard.may_end("m", Result.DELIVERED) is Refusal.NOT_DELIVERED
     assert guard.violation_counts == {Rule.LOST: 2, Rule.DUPLICATE: 1}
-    assert [each.question for each in seen] == ["acknowledge", "forward", "end"]
+    assert [each.check for each in seen] == ["acknowledge", "forward", "end"]
     assert seen[1].state is not None and seen[1].state.value == "in_flight" and seen[1].message == "m"
 
 
@@ -123,7 +123,7 @@
     assert guard.may_end("m", Result.FAILED) is None
     guard.on_notification_due("m")
     guard.on_settled("m")
-    assert guard.state_of("m").value == "ending"
+    assert guard.get_state("m").value == "ending"
     guard.on_acknowledged("m")
-    assert guard.state_of("m").value == "ended"
+    assert guard.get_state("m").value == "ended"
     assert (guard._messages, guard._order_queues) == ({}, {})
--- a/tests/test_submission.py
+++ b/tests/test_submission.py
@@ -10,7 +10,7 @@
 import pytest
 
 from honeybarrow.events import Endpoint, EndpointState, MembershipUpdate, UpdateKind
-from honeybarrow.message_guard import MAX_SHUTDOWN_US, SHUTDOWN_QUIET_US
+from honeybarrow.message_guard import IDEMPOTENT_ONLY_SHUTDOWN_US, MAX_SHUTDOWN_US
 from honeybarrow.node.write_ahead_log import WriteAheadLog
 from honeybarrow.recovery import FinalResult, MessageAccepted, ResumedMessage
 from tests.helpers import SECOND, make_clocks
@@ -268,7 +268,7 @@
 
 def test_no_non_idempotent_attempt_starts_near_the_end_of_the_process(tmp_path: Path) -> None:
     bench = SubmissionBench(tmp_path)
-    bench.forwarder.context.get_shutdown_age_us = lambda: MAX_SHUTDOWN_US - SHUTDOWN_QUIET_US
+    bench.forwarder.context.get_shutdown_age_us = lambda: MAX_SHUTDOWN_US - IDEMPOTENT_ONLY_SHUTDOWN_US
     connection, transport = bench.connect_client()
     bench.submit(connection, "p1", class_name="pay")
     bench.clock.advance(0)
