--- a/benchmarks/fuzz_mail.py
+++ b/benchmarks/fuzz_mail.py
@@ -86,7 +86,7 @@
 def advice(data: bytes) -> None:
     text = data.decode("latin-1")
     rest, found = read_advice(text)
-    assert len(rest) <= len(text) and found.wait_ms >= 0 and found.within_ms >= 0
+    assert len(rest) <= len(text) and found.wait_ms >= 0 and found.duplicate_window_ms >= 0
 
 
 TARGETS: dict[str, Any] = {"server": server, "client": client, "list": the_list, "advice": advice}
--- a/honeybarrow/client.py
+++ b/honeybarrow/client.py
@@ -65,7 +65,9 @@
         return Delivered()
     if 400 <= reply.code < 500:
         return Refused(reply.wait_ms / 1000, reply.text)
-    return Failed(reply.text, reply.within_ms / 1000, is_permanent=reply.is_permanent or not is_final)
+    return Failed(
+        reply.text, reply.duplicate_window_ms / 1000, is_permanent=reply.is_permanent or not is_final
+    )
 
 
 @dataclass(slots=True, eq=False)
@@ -123,7 +125,7 @@
                     self.client.on_connection_idle(self)
                 case mail.SessionRefused(reply):
                     self._end_transaction(result_of_reply(reply, is_final=False))
-                case mail.ServerClosing() | mail.ProtocolBroken():
+                case mail.ServerClosing() | mail.ProtocolViolation():
                     self.transport.abortConnection()
         self.flush()
 
--- a/honeybarrow/delivery/mail_connection.py
+++ b/honeybarrow/delivery/mail_connection.py
@@ -136,8 +136,8 @@
                 self.close()
                 if call is not None:
                     call.on_session_refused(self, reply)
-            case mail.ServerClosing() | mail.ProtocolBroken():
-                reason = event.reason if isinstance(event, mail.ProtocolBroken) else "partner closes"
+            case mail.ServerClosing() | mail.ProtocolViolation():
+                reason = event.reason if isinstance(event, mail.ProtocolViolation) else "partner closes"
                 self._report_loss(reason)
                 self.pool.on_closed_by_partner(self)
                 self.close(abort=True)
--- a/honeybarrow/http/server.py
+++ b/honeybarrow/http/server.py
@@ -58,9 +58,9 @@
     """What the reader waits for when no event is available."""
 
     START = "start"  # the first byte of a request
-    REST = "rest"  # the rest of a request
-    ANSWER = "answer"  # the response to the current request
-    NOTHING = "nothing"  # no more input is read after an invalid request
+    PARTIAL = "rest"  # the rest of a request
+    RESPONSE = "answer"  # the response to the current request
+    FAILED = "nothing"  # no more input is read after an invalid request
 
 
 class RequestReader:
@@ -74,7 +74,7 @@
 
     def receive(self, data: bytes) -> None:
         """Add received bytes; they are discarded after an invalid request."""
-        if self.state is not ReaderState.NOTHING:
+        if self.state is not ReaderState.FAILED:
             self._buffer += data
 
     @property
@@ -89,12 +89,12 @@
 
     def on_response_sent(self) -> None:
         """Allow the next request to be read after the response to the current one."""
-        if self.state is ReaderState.ANSWER:
+        if self.state is ReaderState.RESPONSE:
             self.state = ReaderState.START
 
     def next_event(self) -> Request | InvalidRequest | None:
         """Return the next complete request or the error, or ``None`` if more input is needed."""
-        if self.state in (ReaderState.ANSWER, ReaderState.NOTHING):
+        if self.state in (ReaderState.RESPONSE, ReaderState.FAILED):
             return None
         try:
             return self._next()
@@ -102,7 +102,7 @@
             return self._reject(400, str(error))
 
     def _reject(self, status: int, reason: str) -> InvalidRequest:
-        self.state = ReaderState.NOTHING
+        self.state = ReaderState.FAILED
         self._buffer.clear()
         return InvalidRequest(status, reason)
 
@@ -113,12 +113,12 @@
         if self._head is None:
             return None
         if len(buffer) < self._length:
-            self.state = ReaderState.REST
+            self.state = ReaderState.PARTIAL
             return None
         (method, path, fields, close), self._head = self._head, None
         body = bytes(buffer[: self._length])
         del buffer[: self._length]
-        self.state = ReaderState.ANSWER
+        self.state = ReaderState.RESPONSE
         return Request(method, path, fields, body, close)
 
     def _read_head(self) -> InvalidRequest | None:
@@ -159,7 +159,7 @@
         line_end = buffer.find(b"\r\n")
         if line_end >= 0 and _REQUEST_LINE.fullmatch(buffer[:line_end]) is None:
             return self._reject(400, "not a request line")
-        self.state = ReaderState.REST if buffer else ReaderState.START
+        self.state = ReaderState.PARTIAL if buffer else ReaderState.START
         return None
 
 
--- a/honeybarrow/mail/__init__.py
+++ b/honeybarrow/mail/__init__.py
@@ -7,7 +7,7 @@
 from honeybarrow.mail.client import (
     ClientSession,
     Phase,
-    ProtocolBroken,
+    ProtocolViolation,
     Ready,
     RecipientAnswered,
     ResetDone,
@@ -50,7 +50,7 @@
     "Message",
     "Path",
     "Phase",
-    "ProtocolBroken",
+    "ProtocolViolation",
     "Ready",
     "Recipient",
     "RecipientAnswered",
--- a/honeybarrow/mail/client.py
+++ b/honeybarrow/mail/client.py
@@ -71,13 +71,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ProtocolBroken:
+class ProtocolViolation:
     """The server violated the protocol; the connection must be closed."""
 
     reason: str
 
 
-Event = Ready | SessionRefused | RecipientAnswered | ResetDone | ServerClosing | ProtocolBroken
+Event = Ready | SessionRefused | RecipientAnswered | ResetDone | ServerClosing | ProtocolViolation
 
 MAX_LINE_BYTES = 2048  # above the 512 bytes of RFC 5321 4.5.3.1.5, which some servers exceed
 
@@ -118,20 +118,20 @@
         """Whether the session is neither closed nor quitting."""
         return self.phase not in (Phase.QUIT, Phase.CLOSED)
 
-    def send(self, sender: Path, recipient: Path, content: bytes, by_s: int | None = None) -> None:
+    def send(self, sender: Path, recipient: Path, content: bytes, deliver_by_s: int | None = None) -> None:
         """Start a transaction with one recipient.
 
-        ``by_s``: the time left in seconds, sent if the server supports DELIVERBY. Raises ``RuntimeError``
-        unless the session is idle.
+        ``deliver_by_s``: the time left in seconds, sent if the server supports DELIVERBY. Raises
+        ``RuntimeError`` unless the session is idle.
         """
-        self.send_many(sender, [recipient], content, by_s)
+        self.send_many(sender, [recipient], content, deliver_by_s)
 
     def send_many(
         self,
         sender: Path,
         recipients: Sequence[Path],
         content: bytes,
-        by_s: int | None = None,
+        deliver_by_s: int | None = None,
         envelope_id: str = "",
     ) -> None:
         """Start a transaction with several recipients. With SMTP the accepted ones share one reply.
@@ -146,8 +146,8 @@
             mail_words.append(f"SIZE={len(content)}")
         if "8BITMIME" in self.extensions and not content.isascii():
             mail_words.append("BODY=8BITMIME")
-        if by_s is not None and by_s > 0 and "DELIVERBY" in self.extensions:
-            mail_words.append(f"BY={min(by_s, 999_999_999)};R")
+        if deliver_by_s is not None and deliver_by_s > 0 and "DELIVERBY" in self.extensions:
+            mail_words.append(f"BY={min(deliver_by_s, 999_999_999)};R")
         if envelope_id and ("DSN" in self.extensions or "XENVID" in self.extensions):
             mail_words.append(f"ENVID={encode_xtext(envelope_id)}")
         commands = [
@@ -239,7 +239,7 @@
         phase = self._expected_replies.pop(0)
         if "XADVICE" not in self.extensions:
             # Without the extension, bracketed text in a reply has no defined meaning.
-            reply = replace(reply, wait_ms=0, within_ms=0, load=())
+            reply = replace(reply, wait_ms=0, duplicate_window_ms=0, load=())
         if reply.code == 421 and phase is not Phase.FINAL:
             return self._close_session(self._failure or (reply, phase))
         if phase is Phase.FINAL:
@@ -340,9 +340,9 @@
         self.is_reusable, self.phase = False, Phase.CLOSED
         return SessionRefused(reply)
 
-    def _fail_session(self, reason: str) -> ProtocolBroken:
+    def _fail_session(self, reason: str) -> ProtocolViolation:
         self.is_reusable, self.phase = False, Phase.CLOSED
-        return ProtocolBroken(reason)
+        return ProtocolViolation(reason)
 
 
 def encode_xtext(text: str) -> str:
--- a/honeybarrow/mail/grammar.py
+++ b/honeybarrow/mail/grammar.py
@@ -30,10 +30,10 @@
 class Reply:
     """A reply: code (RFC 5321 4.2), enhanced code (RFC 3463; empty if absent) and text.
 
-    ``wait_ms``, ``load`` and ``within_ms`` are carried by the XADVICE extension (``docs/mail.md``).
+    ``wait_ms``, ``load`` and ``duplicate_window_ms`` are carried by the XADVICE extension (``docs/mail.md``).
     ``wait_ms``: retry delay in milliseconds. ``load``: the unused fraction of the rate limit, and the limit
-    in calls per second. ``within_ms``: with a failure, how long the server still discards a repetition, in
-    milliseconds. ``lines``: the further lines of a multi-line reply.
+    in calls per second. ``duplicate_window_ms``: with a failure, how long the server still discards a
+    repetition, in milliseconds. ``lines``: the further lines of a multi-line reply.
     """
 
     code: int
@@ -42,7 +42,7 @@
     wait_ms: int = 0
     load: tuple[float, ...] = ()
     lines: tuple[str, ...] = field(default=())
-    within_ms: int = 0
+    duplicate_window_ms: int = 0
 
     @property
     def is_positive(self) -> bool:
@@ -64,7 +64,7 @@
         return not self.enhanced and self.code in CAPACITY_CODES
 
     def _advice_fields(self) -> list[str]:
-        numbers = (("wait", self.wait_ms), ("within", self.within_ms))
+        numbers = (("wait", self.wait_ms), ("within", self.duplicate_window_ms))
         parts = [f"{name}={value}" for name, value in numbers if value > 0]
         if self.load:
             parts.append("load=" + ",".join(f"{value:g}" for value in self.load))
@@ -106,7 +106,7 @@
     """The XADVICE part of a reply. The fields are those of :class:`Reply`."""
 
     wait_ms: int = 0
-    within_ms: int = 0
+    duplicate_window_ms: int = 0
     load: tuple[float, ...] = ()
 
 
@@ -168,7 +168,9 @@
         if match and match.group(1) == str(code)[0]:
             enhanced, first = match.group(0).strip(), first[match.end() :]
         text, advice = read_advice(first)
-        return Reply(code, enhanced, text, advice.wait_ms, advice.load, tuple(rows[1:]), advice.within_ms)
+        return Reply(
+            code, enhanced, text, advice.wait_ms, advice.load, tuple(rows[1:]), advice.duplicate_window_ms
+        )
 
 
 class InvalidReplyError(HoneybarrowError, ValueError):
@@ -288,13 +290,13 @@
 class MailParameters:
     """The parameters of MAIL.
 
-    ``is_eight_bit``: BODY=8BITMIME; ``by_s``: time limit of BY in seconds; ``is_by_return``: whether the mode
-    of BY is R (return); ``envelope_id``: ENVID, still encoded as xtext.
+    ``is_eight_bit``: BODY=8BITMIME; ``deliver_by_s``: time limit of BY in seconds; ``is_by_return``: whether
+    the mode of BY is R (return); ``envelope_id``: ENVID, still encoded as xtext.
     """
 
     size_bytes: int = 0
     is_eight_bit: bool = False
-    by_s: int | None = None
+    deliver_by_s: int | None = None
     is_by_return: bool = False
     envelope_id: str = ""
 
@@ -306,7 +308,7 @@
 
 def read_mail_parameters(text: str) -> MailParameters:
     """Parse the parameters ``SIZE``, ``BODY``, ``BY`` and ``ENVID`` of MAIL. Raises :class:`GrammarError`."""
-    size_bytes, is_eight_bit, by_s, is_by_return, envelope_id = 0, False, None, False, ""
+    size_bytes, is_eight_bit, deliver_by_s, is_by_return, envelope_id = 0, False, None, False, ""
     seen_names: set[str] = set()
     for word in text.split():
         name, _, value = word.partition("=")
@@ -319,8 +321,8 @@
         elif name == "BODY" and value.upper() in ("7BIT", "8BITMIME"):
             is_eight_bit = value.upper() == "8BITMIME"
         elif name == "BY" and (match := BY_PATTERN.fullmatch(value)):
-            by_s, is_by_return = int(match.group(1)), match.group(2).upper() == "R"
-            if is_by_return and by_s <= 0:  # RFC 2852 4 requires a positive time in mode R
+            deliver_by_s, is_by_return = int(match.group(1)), match.group(2).upper() == "R"
+            if is_by_return and deliver_by_s <= 0:  # RFC 2852 4 requires a positive time in mode R
                 raise GrammarError(SYNTAX_ERROR)
         elif name == "ENVID" and XTEXT_PATTERN.fullmatch(value):
             envelope_id = value
@@ -328,7 +330,7 @@
             raise GrammarError(SYNTAX_ERROR)
         else:
             raise GrammarError(Reply(555, "5.5.4", "parameter not implemented"))
-    return MailParameters(size_bytes, is_eight_bit, by_s, is_by_return, envelope_id)
+    return MailParameters(size_bytes, is_eight_bit, deliver_by_s, is_by_return, envelope_id)
 
 
 def stuff_dots(content: bytes) -> bytes:
--- a/honeybarrow/mail_front/message_preparation.py
+++ b/honeybarrow/mail_front/message_preparation.py
@@ -24,7 +24,7 @@
 
     ``elapsed_us``: time since the start of the transaction, from which BY counts (RFC 2852).
     """
-    by = message.parameters.by_s
+    by = message.parameters.deliver_by_s
     by_us = by * 1_000_000 if by is not None and message.parameters.is_by_return else None
     deadlines_us = router.deadlines_us
     return compute_batch_times_left_us(
--- a/honeybarrow/mail_front/replies.py
+++ b/honeybarrow/mail_front/replies.py
@@ -29,8 +29,13 @@
                 451, "4.3.2", f"refused, harmless to try again ({reason})", wait_ms=-(-wait_us // 1000)
             )
         case Failed(reason, None, within_us):
-            within_ms = max(0, within_us or 0) // 1000
-            return Reply(554, "5.4.0", f"failed, may have taken effect ({reason})", within_ms=within_ms)
+            duplicate_window_ms = max(0, within_us or 0) // 1000
+            return Reply(
+                554,
+                "5.4.0",
+                f"failed, may have taken effect ({reason})",
+                duplicate_window_ms=duplicate_window_ms,
+            )
         case Failed(_, reply, _):
             assert reply is not None
             return Reply(550, reply.enhanced, f"the partner refuses: {reply.code} {reply.text}")
--- a/honeybarrow/node/front.py
+++ b/honeybarrow/node/front.py
@@ -119,7 +119,7 @@
         if (
             not self.has_open_request
             and not self.is_closing
-            and self.reader.state is not http.ReaderState.REST
+            and self.reader.state is not http.ReaderState.PARTIAL
         ):
             # Processing a long pipeline in one turn would delay all other connections.
             self.is_processing_scheduled = True
--- a/honeybarrow/rehearsal/stand_in_client.py
+++ b/honeybarrow/rehearsal/stand_in_client.py
@@ -265,9 +265,13 @@
         if 400 <= reply.code < 500 and message.attempts <= self.config.max_retries:
             delay_us = reply.wait_ms * 1000 or int(self.rng.uniform(*RETRY_DELAY_RANGE_US))
             self._retry_later(message, delay_us)
-        elif reply.within_ms * 1000 > WINDOW_MARGIN_US and message.attempts <= self.config.max_retries:
+        elif (
+            reply.duplicate_window_ms * 1000 > WINDOW_MARGIN_US
+            and message.attempts <= self.config.max_retries
+        ):
             message.deadline_us = min(
-                message.deadline_us, self.event_log.now_us() + reply.within_ms * 1000 - WINDOW_MARGIN_US
+                message.deadline_us,
+                self.event_log.now_us() + reply.duplicate_window_ms * 1000 - WINDOW_MARGIN_US,
             )
             self._retry_later(message, 0)
         else:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -75,7 +75,7 @@
     reader = http.RequestReader()
     reader.receive(GOOD + GOOD)
     assert isinstance(reader.next_event(), http.Request)
-    assert reader.next_event() is None and reader.state is http.ReaderState.ANSWER
+    assert reader.next_event() is None and reader.state is http.ReaderState.RESPONSE
     reader.on_response_sent()
     assert isinstance(reader.next_event(), http.Request)
     reader.receive(b"x" * MAX_BUFFER_BYTES)
--- a/tests/test_mail.py
+++ b/tests/test_mail.py
@@ -216,7 +216,7 @@
         (answered,) = exchange(client, server, pieces)
         assert answered.phase is Phase.FINAL and answered.reply.code == 250
         assert server.messages()[0].content == content
-        assert server.messages()[0].parameters.by_s == 7
+        assert server.messages()[0].parameters.deliver_by_s == 7
         assert client.phase is Phase.IDLE
 
 
@@ -287,12 +287,12 @@
     client = make_idle_client()
     client.send(Path("a", "b.example"), Path("x", "y.example"), b"hello\r\n")
     events = client.receive(data)
-    assert [type(event) for event in events] == [mail.ProtocolBroken] and not client.is_open
+    assert [type(event) for event in events] == [mail.ProtocolViolation] and not client.is_open
 
 
 def test_unsolicited_reply_ends_idle_session() -> None:
     assert [type(event) for event in make_idle_client().receive(b"421 4.3.2 bye\r\n")] == [mail.ServerClosing]
-    assert [type(event) for event in make_idle_client().receive(b"250 what\r\n")] == [mail.ProtocolBroken]
+    assert [type(event) for event in make_idle_client().receive(b"250 what\r\n")] == [mail.ProtocolViolation]
 
 
 @settings(max_examples=150, deadline=None)
