--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -21,7 +21,7 @@
 )
 from honeybarrow.lab.model_checker import SearchResult, explore_states
 from tests.consensus_model import ConsensusModel
-from tests.test_consensus_cluster import LostDiskVotes, OneIsEnough, VotesForOlderLog
+from tests.test_consensus_cluster import AcceptsReplacedDisk, CommitsWithoutQuorum, VotesForOlderLog
 
 MODELS = {
     "three voters, two terms": ConsensusModel(max_terms=2, max_proposals=0),
@@ -50,8 +50,8 @@
 def is_violated(mutant: str, seed: int) -> bool:
     """Whether a mutant violates something in this run."""
     mutants = {
-        "lost disk votes": LostDiskVotes,
-        "one is enough": OneIsEnough,
+        "lost disk votes": AcceptsReplacedDisk,
+        "one is enough": CommitsWithoutQuorum,
         "votes for older": VotesForOlderLog,
     }
     cluster = ConsensusCluster(draw_plan(seed), seed, mutants[mutant])
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -36,7 +36,7 @@
 
 def make_config() -> lab.SimulationConfig:
     """The rough scenario of the tests, with a second address for most endpoints."""
-    text = mutants.DAY % (2525, 2600, 2600)
+    text = mutants.SCENARIO_SCRIPT % (2525, 2600, 2600)
     text = text.replace('station(name + "-a", port = 0)', f'station(name + "-a", port = 0, {SPOTS})')
     records = config.evaluate_script("mutants.star", text, SCENARIO_WORDS)
     return lab.SimulationConfig(
--- a/benchmarks/zone_lost.py
+++ b/benchmarks/zone_lost.py
@@ -125,7 +125,7 @@
     if job.policy == "alone":
         forwarders = tuple(msgspec.structs.replace(each, fleet=None) for each in forwarders)
     if job.policy == "at once":
-        zone_recovery.return_delay_us = lambda rank, config: 0
+        zone_recovery.compute_return_delay_us = lambda rank, config: 0
     day = lab.SimulationConfig(scenario, forwarders, keep_trace=True, log_level="debug").with_seed(job.seed)
     result = lab.run_simulation(day)
     return measure_result(job, result)
--- a/honeybarrow/fleet/zone_recovery.py
+++ b/honeybarrow/fleet/zone_recovery.py
@@ -16,7 +16,7 @@
 from honeybarrow.fleet.zone_quorum import FleetQuorum
 
 
-def return_delay_us(rank: float, config: ZoneConfig) -> int:
+def compute_return_delay_us(rank: float, config: ZoneConfig) -> int:
     """Return the delay in microseconds between a restoring verdict and the return of a member.
 
     ``rank`` is the member's position in the order of return, from 0 to 1. While the zone warms up, the share
@@ -52,7 +52,7 @@
 
     def compute_return_us(self, rank: float, config: ZoneConfig) -> int:
         """Return the time at which a member of this rank (0 to 1) returns to the restored zone."""
-        return self.decided_us + return_delay_us(rank, config)
+        return self.decided_us + compute_return_delay_us(rank, config)
 
     def is_probe_running(self, now: int) -> bool:
         """Return whether the current probe has started and not ended."""
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -35,7 +35,7 @@
 from tests.live import RecordingLog
 
 reactor = get_reactor()
-DAY = """
+SCENARIO_SCRIPT = """
 classes = [
     message_class("note", aim = "1s", deadline = "3s", late_share = 0.4),
     message_class("pay", aim = "1s", deadline = "4s", effect = "unsafe"),
@@ -273,7 +273,7 @@
     # Below the ephemeral port range, and different for each mutant, because mutants run concurrently.
     register_port = 27000 + 2 * list(MUTANTS).index(name)
     records = config.evaluate_script(
-        "day.star", DAY % (register_port + 1, register_port, register_port), SCENARIO_WORDS
+        "day.star", SCENARIO_SCRIPT % (register_port + 1, register_port, register_port), SCENARIO_WORDS
     )
     scenario = next(record for record in records.values() if isinstance(record, Scenario))
     settings = config.find_all(records, Settings)
--- a/tests/test_consensus_cluster.py
+++ b/tests/test_consensus_cluster.py
@@ -40,7 +40,7 @@
     assert acknowledged > 300 and (readmitted or voters == 5), "the runs exercised too little"
 
 
-class LostDiskVotes(RaftNode):
+class AcceptsReplacedDisk(RaftNode):
     """Mutant: counts votes and acknowledgments of a voter whose disk was replaced."""
 
     class AnyDiskState(NodeState):
@@ -63,7 +63,7 @@
         return super().on_message(now_us, sender, message, wall_clock_us)
 
 
-class OneIsEnough(RaftNode):
+class CommitsWithoutQuorum(RaftNode):
     """Mutant: a leader commits entries that only its own disk holds."""
 
     class QuorumlessReplication(LeaderReplication):
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize(
-    ("node_type", "runs"), [(LostDiskVotes, 60), (OneIsEnough, 20), (VotesForOlderLog, 40)]
+    ("node_type", "runs"), [(AcceptsReplacedDisk, 60), (CommitsWithoutQuorum, 20), (VotesForOlderLog, 40)]
 )
 def test_each_mutant_violates_a_guarantee_in_some_run(node_type: type[RaftNode], runs: int) -> None:
     for seed in range(runs):
--- a/tests/test_golden_lab.py
+++ b/tests/test_golden_lab.py
@@ -66,7 +66,7 @@
 
 
 def make_rough_config() -> lab.SimulationConfig:
-    head, tail = (mutants.DAY % (2525, 2600, 2600)).rsplit(")]\nday", 1)
+    head, tail = (mutants.SCENARIO_SCRIPT % (2525, 2600, 2600)).rsplit(")]\nday", 1)
     return read_config("rough", f"{head}){ROUGH_FAULTS}day{tail}")
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -36,7 +36,7 @@
 
 
 def rough_scenario() -> lab.SimulationConfig:
-    return read_config(mutants.DAY % (2525, 2600, 2600))
+    return read_config(mutants.SCENARIO_SCRIPT % (2525, 2600, 2600))
 
 
 class Connection(NamedTuple):
--- a/tests/test_zone_mutants.py
+++ b/tests/test_zone_mutants.py
@@ -144,7 +144,7 @@
         test_zones.test_at_most_half_of_the_zones_are_ejected_at_once,
     ),
     "members return all at once": (
-        replace_attribute(zone_recovery, "return_delay_us", lambda rank, config: 0),
+        replace_attribute(zone_recovery, "compute_return_delay_us", lambda rank, config: 0),
         test_zones.test_members_return_within_the_capacity_of_a_warming_zone,
     ),
     "an older verdict replaces a later one": (
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -35,7 +35,7 @@
     ZoneVerdict,
 )
 from honeybarrow.fleet.zone_paths import expand_path, is_within
-from honeybarrow.fleet.zone_recovery import ZoneRecovery, return_delay_us
+from honeybarrow.fleet.zone_recovery import ZoneRecovery, compute_return_delay_us
 from honeybarrow.fleet.zone_view import ZoneStatus, ZoneUsage
 from honeybarrow.lab.gossip_cluster import SECOND, ClusterConfig, GossipCluster, ZoneFault
 
@@ -652,7 +652,12 @@
 def test_lower_rank_returns_first(one: float, other: float) -> None:
     config = ZoneConfig()
     lower, higher = sorted((one, other))
-    assert 0 <= return_delay_us(lower, config) <= return_delay_us(higher, config) <= 1.25 * config.warm_up_us
+    assert (
+        0
+        <= compute_return_delay_us(lower, config)
+        <= compute_return_delay_us(higher, config)
+        <= 1.25 * config.warm_up_us
+    )
 
 
 def test_rendezvous_replaces_only_a_lost_member() -> None:
