--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -12,7 +12,7 @@
 
 from honeybarrow.lab.consensus_cluster import (
     SECOND_US,
-    ClusterPlan,
+    ClusterParameters,
     ConsensusCluster,
     Fault,
     FaultKind,
@@ -44,7 +44,12 @@
     """Violations of a run, acknowledged proposals, leader changes, voters added again."""
     cluster = ConsensusCluster(draw_plan(seed, 3 + 2 * (seed % 2), 2 + seed % 5), seed)
     history = cluster.run()
-    return find_violations(cluster), len(history.acknowledged), len(history.elected_us), history.readmitted
+    return (
+        find_violations(cluster),
+        len(history.acknowledged),
+        len(history.elected_us),
+        history.readmission_count,
+    )
 
 
 def is_violated(mutant: str, seed: int) -> bool:
@@ -96,7 +101,7 @@
 def measure_times() -> None:
     """From proposing to commit by the links' delay; from a leader's death to the next one."""
     for delay in (50, 1_000, 10_000, 50_000):
-        plan = ClusterPlan(
+        plan = ClusterParameters(
             loss_rate=0.0, duplicate_rate=0.0, delay_range_us=(delay, delay + 1), sync_range_us=(500, 2000)
         )
         cluster = ConsensusCluster(plan, delay)
@@ -107,7 +112,7 @@
         waits_us = []
         for seed in range(300):
             cluster = ConsensusCluster(
-                ClusterPlan(
+                ClusterParameters(
                     learners=0, loss_rate=0.0, delay_range_us=(delay // 2, delay), duration_us=5 * SECOND_US
                 ),
                 seed,
