--- a/benchmarks/soak_mutants.py
+++ b/benchmarks/soak_mutants.py
@@ -22,7 +22,7 @@
 import honeybarrow
 from honeybarrow.soak.fault_shim import build_shim
 from honeybarrow.soak.plan import FaultKind, SoakSpec
-from honeybarrow.soak.run import play
+from honeybarrow.soak.run import run_soak
 
 PACKAGE = Path(honeybarrow.__file__).parent
 FORWARDERS = 10
@@ -277,7 +277,7 @@
         library = build_shim(folder)
         for seed in range(1, seeds + 1):
             spec = SoakSpec(seed, mutant.forwarders, load_s=LOAD_S, faults=mutant.faults, kinds=mutant.kinds)
-            result = play(spec, folder / f"run-{seed}", library, source=source)
+            result = run_soak(spec, folder / f"run-{seed}", library, source=source)
             if not result.has_passed:
                 rules = sorted({violation.rule.value for violation in result.violations})
                 return f"seed {seed}: {', '.join(rules)}"
--- a/honeybarrow/cli/soak.py
+++ b/honeybarrow/cli/soak.py
@@ -15,7 +15,7 @@
 from honeybarrow.soak.fault_shim import NoCompilerError, build_shim
 from honeybarrow.soak.plan import Fault, FaultKind, SoakSpec
 from honeybarrow.soak.rules import SoakRule, SoakViolation
-from honeybarrow.soak.run import SoakResult, play
+from honeybarrow.soak.run import SoakResult, run_soak
 from honeybarrow.soak.shrink import shrink_faults
 
 MAX_STORIES = 3  # told of one run
@@ -59,7 +59,7 @@
     for number in range(seed, seed + seeds):
         spec = replace(first, seed=number)
         own = folder / f"seed-{number}"
-        result = play(spec, own, library, source=source)
+        result = run_soak(spec, own, library, source=source)
         _print_result(result, spec)
         broken.update({violation.rule.value for violation in result.violations})
         if keep is not None:
@@ -95,7 +95,7 @@
 
 def _print_story(result: SoakResult, violation: SoakViolation) -> None:
     click.echo(f"  {violation.rule}: {violation.forwarder} {violation.message} {violation.text}")
-    for line in result.history.story(violation.message, violation.forwarder):
+    for line in result.history.related_events(violation.message, violation.forwarder):
         click.echo(f"    {line}")
 
 
@@ -107,7 +107,7 @@
     def play_faults(faults: Sequence[Fault]) -> frozenset[SoakRule]:
         nonlocal plays
         plays += 1
-        again = play(spec, folder / f"shrink-{plays}", library, faults, source)
+        again = run_soak(spec, folder / f"shrink-{plays}", library, faults, source)
         return frozenset(violation.rule for violation in again.violations)
 
     left = shrink_faults(result.faults, rule, play_faults)
--- a/honeybarrow/soak/fault_shim.py
+++ b/honeybarrow/soak/fault_shim.py
@@ -144,37 +144,37 @@
         self,
         call: SystemCall,
         errnos: Sequence[int] = (),
-        share: float = 1.0,
+        failure_fraction: float = 1.0,
         seconds: float | None = None,
-        short_share: float = 0.0,
-        kill_share: float = 0.0,
+        short_transfer_fraction: float = 0.0,
+        kill_fraction: float = 0.0,
     ) -> None:
         """Inject faults into a system call.
 
         :param errnos: Errors to return, one chosen at random per failing call.
-        :param share: Fraction of the calls that fail.
+        :param failure_fraction: Fraction of the calls that fail.
         :param seconds: Duration of the faults; ``None`` for no limit.
-        :param short_share: Fraction of the transfers that move only a part of the bytes.
-        :param kill_share: Fraction of the file writes that write a part and then kill the process.
+        :param short_transfer_fraction: Fraction of the transfers that move only a part of the bytes.
+        :param kill_fraction: Fraction of the file writes that write a part and then kill the process.
         """
         rule = self._control.rules[call]
         rule.until_ns = 0  # disables the rule while it is updated
-        rule.fail_per_million = int(share * _MILLION) if errnos else 0
-        rule.short_per_million = int(short_share * _MILLION)
-        rule.kill_per_million = int(kill_share * _MILLION)
+        rule.fail_per_million = int(failure_fraction * _MILLION) if errnos else 0
+        rule.short_per_million = int(short_transfer_fraction * _MILLION)
+        rule.kill_per_million = int(kill_fraction * _MILLION)
         rule.errnos = (ctypes.c_int32 * _MAX_ERRNOS)(*errnos[: _MAX_ERRNOS - 1])
         rule.until_ns = _NO_END_NS if seconds is None else time.monotonic_ns() + int(seconds * _NANOSECONDS)
 
-    def stall(self, max_seconds: float, share: float, seconds: float) -> None:
-        """Delay a fraction ``share`` of the sends and file writes for ``seconds`` from now.
+    def stall(self, max_seconds: float, stall_fraction: float, seconds: float) -> None:
+        """Delay a fraction of the sends and file writes for ``seconds`` from now.
 
         Each delay is random, up to ``max_seconds``.
         """
         self._control.max_stall_us = int(max_seconds * _MILLION)
-        self._control.stall_per_million = int(share * _MILLION)
+        self._control.stall_per_million = int(stall_fraction * _MILLION)
         self._control.stall_until_ns = time.monotonic_ns() + int(seconds * _NANOSECONDS)
 
-    def recover(self, call: SystemCall | None = None) -> None:
+    def clear_faults(self, call: SystemCall | None = None) -> None:
         """Stop the faults of one system call, or of all."""
         for each in SystemCall if call is None else (call,):
             self._control.rules[each].until_ns = 0
--- a/honeybarrow/soak/history.py
+++ b/honeybarrow/soak/history.py
@@ -106,7 +106,7 @@
                 events[event.forwarder].append(event)
         return events
 
-    def story(self, message: str, forwarder: str = "") -> list[str]:
+    def related_events(self, message: str, forwarder: str = "") -> list[str]:
         """Return the formatted events of a message, and the process events and faults of its forwarder."""
         request = self.requests.get(message)
         forwarder = request.forwarder if request else forwarder
--- a/honeybarrow/soak/run.py
+++ b/honeybarrow/soak/run.py
@@ -269,9 +269,9 @@
 
     async def _tear_write(self, fault: Fault) -> None:
         shim = self.shims[fault.target]
-        shim.fail(SystemCall.WRITE, seconds=fault.duration_s, kill_share=fault.probability)
+        shim.fail(SystemCall.WRITE, seconds=fault.duration_s, kill_fraction=fault.probability)
         await asyncio.sleep(fault.duration_s)
-        shim.recover(SystemCall.WRITE)
+        shim.clear_faults(SystemCall.WRITE)
 
     async def _stall(self, fault: Fault) -> None:
         self.shims[fault.target].stall(fault.amount, fault.probability, fault.duration_s)
@@ -353,7 +353,7 @@
     async def _wait_for_results(self) -> None:
         """End the faults of the shims and wait until all deadlines have passed and restarts have ended."""
         for shim in self.shims.values():
-            shim.recover()
+            shim.clear_faults()
         await asyncio.sleep(SETTLE_S)
         until_s = time.monotonic() + 10.0
         while any(each.is_stopping for each in self.forwarders.values()) and time.monotonic() < until_s:
@@ -457,7 +457,7 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
 
 
-def play(
+def run_soak(
     spec: SoakSpec,
     folder: Path,
     library: Path | None,
--- a/tests/test_folder_faults.py
+++ b/tests/test_folder_faults.py
@@ -37,7 +37,7 @@
         await asyncio.sleep(1.0)
         # The other two wait until the start of an attempt can be recorded.
         assert platform.delivered == ["note-1"] and len(platform.calls) == calls + 1
-        shim.recover()
+        shim.clear_faults()
         await platform.wait_until(lambda: len(platform.delivered) == 3, 3.0)
         assert await platform.submit("note-3") == 202
         log = platform.read_log()
@@ -64,7 +64,7 @@
         assert platform.notifications == []
         if is_killed:
             await platform.end_forwarder(signal.SIGKILL)
-            shim.recover()
+            shim.clear_faults()
             await asyncio.sleep(RESTART_DELAY_S)
             await platform.start_forwarder()
         await platform.wait_until(lambda: platform.notifications, submitted_s + 4.3 - time.monotonic())
@@ -94,10 +94,10 @@
     async def scenario(platform: PlatformHarness, shim: FaultShim) -> None:
         shim.fail(call, FOLDER_ERRNOS, share, 1.0)
         if call is SystemCall.TRUNCATE:  # the rest of a failed write cannot be truncated
-            shim.fail(SystemCall.WRITE, FOLDER_ERRNOS, 0.3, 1.0, short_share=0.3)
+            shim.fail(SystemCall.WRITE, FOLDER_ERRNOS, 0.3, 1.0, short_transfer_fraction=0.3)
         accepted = await submit_during_fault(platform)
         await platform.end_forwarder(signal.SIGKILL)
-        shim.recover()
+        shim.clear_faults()
         await asyncio.sleep(RESTART_DELAY_S)
         await platform.start_forwarder()
         await check_accepted_messages(platform, accepted)
@@ -107,7 +107,7 @@
 
 def test_short_writes_lose_nothing(tmp_path: Path) -> None:
     async def scenario(platform: PlatformHarness, shim: FaultShim) -> None:
-        shim.fail(SystemCall.WRITE, short_share=0.7)
+        shim.fail(SystemCall.WRITE, short_transfer_fraction=0.7)
         accepted = await submit_during_fault(platform)
         assert shim.hits(SystemCall.WRITE) > len(accepted) // 2
         await platform.end_forwarder(signal.SIGKILL)
@@ -124,16 +124,16 @@
         for number in range(30):
             name = f"{('note', 'post', 'pay')[number % 3]}-{number}"
             if number % 5 == 4:
-                shim.fail(SystemCall.WRITE, kill_share=0.3)
+                shim.fail(SystemCall.WRITE, kill_fraction=0.3)
             if await try_submit(platform, name, name.split("-")[0]) == 202:
                 accepted[name] = time.monotonic()
             assert platform.process is not None
             await asyncio.sleep(0.03)
             if platform.process.returncode is not None:
-                shim.recover()
+                shim.clear_faults()
                 await asyncio.sleep(RESTART_DELAY_S)
                 await platform.start_forwarder()
-        shim.recover()
+        shim.clear_faults()
         assert platform.read_log().count(" ready ") > 3
         await check_accepted_messages(platform, accepted)
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -13,7 +13,7 @@
 from honeybarrow.soak.history import ClientRequest, EventKind, History
 from honeybarrow.soak.plan import Fault, FaultKind, SoakSpec, draw_faults
 from honeybarrow.soak.rules import RuleChecker, SoakRule
-from honeybarrow.soak.run import SoakResult, play
+from honeybarrow.soak.run import SoakResult, run_soak
 from honeybarrow.soak.shrink import shrink_faults
 
 FORWARDERS = [f"f{number:02d}" for number in range(6)]
@@ -27,7 +27,7 @@
         library = build_shim(folder)
     except NoCompilerError as error:
         pytest.skip(f"the fault shim can't be built: {error}")
-    return play(spec, folder / "run", library, source=source)
+    return run_soak(spec, folder / "run", library, source=source)
 
 
 @pytest.mark.parametrize("seed", [101, 102])
@@ -35,7 +35,7 @@
     result = run_short(tmp_path, SoakSpec(seed, forwarders=10, load_s=10.0, faults=40))
     reports = [
         f"{each.rule} {each.forwarder} {each.message} {each.text}\n"
-        + "\n".join(result.history.story(each.message) if each.message else ())
+        + "\n".join(result.history.related_events(each.message) if each.message else ())
         for each in result.violations
     ]
     assert result.has_passed, "\n".join([*reports, *result.guard_violations])
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -100,7 +100,7 @@
             platform.choose_answer = lambda message: CLOSING_ANSWER
         shim.fail(call, errnos, share, FAULT_DURATION_S)
         accepted = await submit_during_fault(platform)
-        shim.recover()
+        shim.clear_faults()
         assert shim.hits(call) > 0
         await check_accepted_messages(platform, accepted)
         assert len(accepted) >= MESSAGE_COUNT // 3
@@ -122,9 +122,9 @@
 @pytest.mark.parametrize("call", [SystemCall.SEND, SystemCall.RECV])
 def test_short_transfers_lose_nothing(tmp_path: Path, call: SystemCall) -> None:
     async def scenario(platform: PlatformHarness, shim: FaultShim) -> None:
-        shim.fail(call, short_share=0.9, seconds=FAULT_DURATION_S)
+        shim.fail(call, short_transfer_fraction=0.9, seconds=FAULT_DURATION_S)
         accepted = await submit_during_fault(platform)
-        shim.recover()
+        shim.clear_faults()
         assert shim.hits(call) > MESSAGE_COUNT and len(accepted) == MESSAGE_COUNT
         await check_accepted_messages(platform, accepted)
         assert len(platform.delivered) == MESSAGE_COUNT + 1
@@ -153,7 +153,7 @@
         before_s = cpu_seconds(platform)
         await asyncio.sleep(1.5)
         assert cpu_seconds(platform) - before_s < 0.5
-        shim.recover()
+        shim.clear_faults()
         await asyncio.gather(*waiting)
         assert await platform.submit("m2") == 202
 
@@ -172,7 +172,7 @@
         shim.fail(SystemCall.EPOLL_CTL, (errno.ENOMEM,), 0.2, FAULT_DURATION_S)
         shim.fail(SystemCall.SEND, (errno.ECONNRESET, errno.ENOBUFS), 0.1, FAULT_DURATION_S)
         await submit_during_fault(platform)
-        shim.recover()
+        shim.clear_faults()
         await asyncio.sleep(1.0)
         # idle connections to peers and clients may remain open
         await platform.wait_until(lambda: len(os.listdir(folder)) <= before + 8, 5.0)
