--- a/honeybarrow/bench_adapter.py
+++ b/honeybarrow/bench_adapter.py
@@ -68,10 +68,10 @@
 
 
 class WireError(HoneybarrowError):
-    """The input is not what the wire allows."""
+    """The input violates the simulator's line protocol."""
 
     code = "HB902"
-    remedy = "compare the build with the bench's wire page; the last line read stands in the text"
+    remedy = "check that the simulator's protocol matches this build; the message quotes the last line read"
 
 
 class WireLine:
--- a/honeybarrow/config/script.py
+++ b/honeybarrow/config/script.py
@@ -26,10 +26,10 @@
 
 
 class ConfigError(HoneybarrowError):
-    """A script that can't be read; the text is for the person who wrote it."""
+    """A configuration script is invalid; the message names the file and the line."""
 
     code = "HB111"
-    remedy = "correct the script at the line named, and try it with 'honeybarrow check FILE'"
+    remedy = "correct the script at the line named, and check it with 'honeybarrow check FILE'"
     status = 2
 
 
--- a/honeybarrow/errors.py
+++ b/honeybarrow/errors.py
@@ -52,10 +52,12 @@
 
 
 class InvalidValueError(HoneybarrowError, ValueError):
-    """A part was given values that make no sense together."""
+    """A component was given invalid or inconsistent values."""
 
     code = "HB101"
-    remedy = "correct the value that the text names; the settings' page says what each may be"
+    remedy = (
+        "correct the value named in the message; the description of the settings lists the allowed values"
+    )
     status = USAGE_EXIT_STATUS
 
 
--- a/honeybarrow/fleet/wire.py
+++ b/honeybarrow/fleet/wire.py
@@ -43,10 +43,10 @@
 
 
 class WireError(HoneybarrowError, ValueError):
-    """Bytes that are no message of this fleet."""
+    """Data that is not a valid message of this fleet."""
 
     code = "HB401"
-    remedy = "compare the fleet's name and the builds of both sides; else something that is no member sends"
+    remedy = "compare the fleet names and versions of both members; otherwise the sender is not a member"
 
 
 class PushPullState(msgspec.Struct, frozen=True, array_like=True, tag=21):
--- a/honeybarrow/http/grammar.py
+++ b/honeybarrow/http/grammar.py
@@ -16,10 +16,10 @@
 
 
 class GrammarError(HoneybarrowError, ValueError):
-    """The bytes are not what RFC 9112 allows, or go past a bound."""
+    """The bytes violate RFC 9112 or exceed a limit."""
 
     code = "HB201"
-    remedy = "the connection is closed; if it is a partner's or a client's, have its HTTP library looked at"
+    remedy = "the connection is closed; if the peer is a partner or a client, check its HTTP library"
 
 
 def parse_fields(lines: list[bytes]) -> dict[bytes, bytes]:
--- a/honeybarrow/mail/grammar.py
+++ b/honeybarrow/mail/grammar.py
@@ -16,10 +16,10 @@
 
 
 class GrammarError(HoneybarrowError, ValueError):
-    """Input that the grammar does not allow; ``reply`` is the server's reply to it."""
+    """The input violates the SMTP grammar; ``reply`` is the server's reply to it."""
 
     code = "HB202"
-    remedy = "the client is told by the reply; if it is a program of yours, have its mail library looked at"
+    remedy = "the client receives the reply; if it is a program of yours, check its mail library"
 
     def __init__(self, reply: Reply) -> None:
         super().__init__(reply.text)
@@ -174,10 +174,10 @@
 
 
 class InvalidReplyError(HoneybarrowError, ValueError):
-    """A server's reply breaks the grammar; nothing can be concluded from it."""
+    """A server's reply violates the grammar, so the result of the command is unknown."""
 
     code = "HB203"
-    remedy = "the call counts as lost in doubt; tell the partner, whose server breaks the protocol"
+    remedy = "the attempt is ambiguous; report the protocol violation to the operator of the partner's server"
 
 
 SYNTAX_ERROR = Reply(501, "5.5.4", "syntax error in parameters")
--- a/honeybarrow/mail_front/routing.py
+++ b/honeybarrow/mail_front/routing.py
@@ -25,10 +25,12 @@
 
 
 class UnroutableError(HoneybarrowError, ValueError):
-    """A message that the rules can't place; ``reply`` tells the client why."""
+    """A message that matches no route; ``reply`` gives the client the reason."""
 
     code = "HB303"
-    remedy = "the client is told by the reply; compare the recipient with the routing and the partners' list"
+    remedy = (
+        "the client receives the reply; compare the recipient with the routing rules and the partner list"
+    )
 
     def __init__(self, reply: Reply) -> None:
         super().__init__(reply.text)
--- a/honeybarrow/node/config.py
+++ b/honeybarrow/node/config.py
@@ -16,10 +16,10 @@
 
 
 class ConfigError(HoneybarrowError, ValueError):
-    """The configuration can't be used; the text says which part."""
+    """The platform configuration is invalid; the message names the field."""
 
     code = "HB110"
-    remedy = "correct that part of the platform's configuration; a forwarder that runs keeps its old one"
+    remedy = "correct the field named in the message; a running forwarder keeps its previous configuration"
     status = 2
 
 
--- a/honeybarrow/node/endpoint_list.py
+++ b/honeybarrow/node/endpoint_list.py
@@ -37,10 +37,10 @@
 
 
 class EndpointListError(HoneybarrowError, ValueError):
-    """An item of the list can't be read at all."""
+    """An item of the endpoint list is invalid."""
 
     code = "HB301"
-    remedy = "the list held stays in use and is asked for anew; if it goes on, look at discovery"
+    remedy = "the current list stays in use and is requested again; if this continues, check discovery"
 
 
 @dataclass(frozen=True, slots=True)
--- a/honeybarrow/node/process.py
+++ b/honeybarrow/node/process.py
@@ -45,10 +45,10 @@
 
 
 class ListenError(HoneybarrowError, OSError):
-    """The address to listen on can't be had."""
+    """The listen address is not available."""
 
     code = "HB114"
-    remedy = "look for another process on that address, or correct it in the platform's configuration"
+    remedy = "stop the process that uses the address, or change the address in the platform configuration"
 
 
 class ForwarderProcess:
--- a/honeybarrow/register/directory.py
+++ b/honeybarrow/register/directory.py
@@ -11,10 +11,10 @@
 
 
 class ListError(HoneybarrowError, ValueError):
-    """An update that can't be applied; the list held stays as it was."""
+    """A list update that can't be applied; the current list stays unchanged."""
 
     code = "HB302"
-    remedy = "the list held stays in use; correct the register, or remove a saved list that was damaged"
+    remedy = "the current list stays in use; correct the register, or delete the saved list if it is damaged"
     status = 2
 
 
--- a/honeybarrow/rehearsal/plot.py
+++ b/honeybarrow/rehearsal/plot.py
@@ -19,10 +19,10 @@
 
 
 class PlotError(HoneybarrowError):
-    """No picture; the text says why."""
+    """The plot can't be drawn; the message gives the reason."""
 
     code = "HB901"
-    remedy = "leave --plot out, or install the development requirements"
+    remedy = "omit --plot, or install the development requirements"
 
 
 def plot(entries: Sequence[EventLogEntry], scenario: Scenario, path: Path) -> None:
--- a/honeybarrow/soak/fault_shim.py
+++ b/honeybarrow/soak/fault_shim.py
@@ -30,10 +30,10 @@
 
 
 class NoCompilerError(HoneybarrowError, RuntimeError):
-    """There is no C compiler, or it can't build the library."""
+    """The C compiler is missing or can't build the fault injection library."""
 
     code = "HB410"
-    remedy = "install the system's C compiler (cc or gcc); faults of clocks and system calls need it"
+    remedy = "install the system's C compiler (cc or gcc); clock and system call faults require it"
 
 
 class SystemCall(enum.IntEnum):
--- a/honeybarrow/tls.py
+++ b/honeybarrow/tls.py
@@ -14,10 +14,10 @@
 
 
 class TlsError(HoneybarrowError, ValueError):
-    """Files that make no context."""
+    """The certificate or key file can't be loaded."""
 
     code = "HB113"
-    remedy = "put a PEM file there that this user can read, and the key that belongs to the certificate"
+    remedy = "provide readable PEM files, with the private key that belongs to the certificate"
     status = 2
 
 
--- a/honeybarrow/wire_settings.py
+++ b/honeybarrow/wire_settings.py
@@ -33,10 +33,10 @@
 
 
 class SettingsError(HoneybarrowError, ValueError):
-    """The settings are not what the library can use; the text names the part."""
+    """The settings are invalid; the message names the setting."""
 
     code = "HB112"
-    remedy = "correct the setting named; the wire's page says what each may be"
+    remedy = "correct the setting named; the description of the settings lists the allowed values"
     status = 2
 
 
