--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -122,7 +122,7 @@
         platform.choose_answer = lambda message: b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
         submitted_s = time.monotonic()
         assert await platform.submit("m1", "pay") == 202
-        await platform.wait_until(lambda: platform.calls)
+        await platform.wait_until(lambda: "attempt_failed id=m1" in platform.read_log())
         platform.choose_answer = lambda message: TARGET_ANSWER
         await restart(platform, shim, HOUR_S, RESTART_DELAY_S)
         await wait_for_result(platform, "m1", submitted_s, 8.0)
