--- a/honeybarrow/client.py
+++ b/honeybarrow/client.py
@@ -1,16 +1,16 @@
-"""A client for programs that submit messages: one final result for each, over SMTP or LMTP.
+"""A client library that submits messages over SMTP or LMTP and returns one final result for each.
 
     client = Client(reactor, "127.0.0.1", 2525)
     result = yield client.submit("me@here.example", "settlement-pay@chain-1.example", content)
     match result:
         case Delivered(): ...
-        case Refused(retry_after_s): ...  # harmless to submit again, after so many seconds if it says
-        case Failed(): ...  # may have taken effect; a repeat is dropped for retry_within_s, if it says
+        case Refused(retry_after_s): ...  # not delivered; safe to submit again after retry_after_s
+        case Failed(): ...  # may have taken effect; the partner drops a repeat within retry_within_s
 
-``content`` is a message with CRLF line ends (RFC 5322). Give it a Message-ID, or pass ``envelope_id``: by
-it the service recognizes a message that is submitted again after a lost connection, and neither sends it
-twice nor loses its result. :meth:`Client.submit` never fails with a connection's error: what can't be known
-is ``Failed(is_result_lost=True)``, and what was never submitted is ``Refused``.
+``content`` is a message with CRLF line endings (RFC 5322). Give it a Message-ID or pass ``envelope_id``: the
+service uses it to recognize a message that is submitted again after a lost connection, so the message is not
+sent twice and its result is not lost. Connection errors never fail the Deferred of :meth:`Client.submit`: an
+unknown result is ``Failed(is_result_lost=True)``, and a message that was never submitted is ``Refused``.
 """
 
 from __future__ import annotations
@@ -35,7 +35,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Not delivered, and harmless to submit again: after ``retry_after_s`` seconds, if that is not 0."""
+    """The message was not delivered and is safe to submit again.
+
+    ``retry_after_s`` is the time in seconds to wait before that; 0 if the service gave none.
+    """
 
     retry_after_s: float = 0.0
     reason: str = ""
@@ -43,11 +46,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """Not delivered as far as is known, with no promise about the effect.
-
-    ``retry_within_s``: for so many seconds a repeat is still dropped by the partner. ``is_permanent``:
-    refused, and no retry changes that. ``is_result_lost``: the connection was lost, or the result did not
-    come in time; the same message, with its id, may be submitted again to learn the result.
+    """The message is not known to be delivered, and may have taken effect.
+
+    Attributes:
+        reason: the text of the reply, or of the connection error.
+        retry_within_s: the time in seconds during which the partner still drops a repeat of the message.
+        is_permanent: the message was rejected, and a retry can't succeed.
+        is_result_lost: the connection was lost or the result timed out; submitting the same message again
+            with the same id returns its result.
     """
 
     reason: str = ""
@@ -60,7 +66,10 @@
 
 
 def result_of_reply(reply: mail.Reply, is_final: bool = True) -> FinalResult:
-    """The result that a reply of the service means (``docs/mail.md``). ``is_final``: to the end of data."""
+    """Return the result that a reply of the service stands for (``docs/mail.md``).
+
+    ``is_final`` is whether the reply answers the end of the message data.
+    """
     if 200 <= reply.code < 300 and is_final:
         return Delivered()
     if 400 <= reply.code < 500:
@@ -70,7 +79,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Transaction:
-    """One transaction: one message to one recipient, or with LMTP to several."""
+    """A mail transaction: a message to one recipient, or over LMTP to several."""
 
     sender: mail.Path
     recipients: list[mail.Path]
@@ -84,16 +93,16 @@
 
     @property
     def is_completed(self) -> bool:
-        """Whether every recipient has its result."""
+        """Return whether every recipient has its result."""
         return all(result.called for result in self.results)
 
     def complete(self, index: int, result: FinalResult) -> None:
-        """Give one recipient its result, if it has none."""
+        """Set the result of one recipient unless it has one."""
         if not self.results[index].called:
             self.results[index].callback(result)
 
     def complete_all(self, result: FinalResult) -> None:
-        """Give this result to all recipients that have none."""
+        """Set the result of all recipients that have none, and cancel the timeout."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         for index in range(len(self.results)):
@@ -101,7 +110,7 @@
 
 
 class _Connection(Protocol):
-    """One connection to the front, which carries one transaction at a time."""
+    """A connection to the front, which carries one transaction at a time."""
 
     transport: Any = None
 
@@ -117,8 +126,8 @@
                 case mail.Ready():
                     self.is_ready = True
                     self.client.on_connection_idle(self)
-                case mail.RecipientAnswered(reply, phase, place, last):
-                    self._on_reply(reply, phase, place, last)
+                case mail.RecipientAnswered(reply, phase, index, is_last):
+                    self._on_reply(reply, phase, index, is_last)
                 case mail.ResetDone():
                     self.client.on_connection_idle(self)
                 case mail.SessionRefused(reply):
@@ -133,7 +142,7 @@
             return
         transaction.complete(index, result_of_reply(reply, phase is mail.Phase.FINAL))
         if is_last:
-            self._end_transaction(Failed("no answer for this recipient"))
+            self._end_transaction(Failed("no reply for this recipient"))
             if self.session.phase is mail.Phase.IDLE:
                 self.client.on_connection_idle(self)
 
@@ -155,8 +164,8 @@
         self.flush()
 
     def flush(self) -> None:
-        if (out := self.session.take_output()) and self.transport is not None:
-            self.transport.write(out)
+        if (output := self.session.take_output()) and self.transport is not None:
+            self.transport.write(output)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.client.on_connection_lost(self, reason.getErrorMessage())
@@ -177,7 +186,7 @@
 
 @dataclass(slots=True)
 class ClientLimits:
-    """Bounds: connections at once, messages that wait for one, seconds to wait for a result."""
+    """The limits of a client: concurrent connections, messages waiting for one, and timeouts in seconds."""
 
     max_connections: int = 20
     max_waiting: int = 10_000
@@ -187,7 +196,7 @@
 
 @dataclass(slots=True, eq=False)
 class Client:
-    """Submits messages to one front, over connections that it keeps."""
+    """Submits messages to one front over persistent connections."""
 
     reactor: Reactor
     host: str
@@ -209,9 +218,17 @@
         envelope_id: str = "",
         timeout_s: float | None = None,
     ) -> Deferred[FinalResult]:
-        """Submit one message; fires with its result. ``by_s``: whole seconds to deliver it in (RFC 2852).
+        """Submit one message and return a Deferred of its result.
+
+        Args:
+            sender: the address of the sender; empty for none.
+            recipient: the address of the recipient.
+            content: the message with CRLF line endings.
+            by_s: the time to deliver in, in whole seconds (RFC 2852).
+            envelope_id: an id that stays the same when the message is submitted again.
+            timeout_s: the time to wait for the result in seconds; by default that of the limits.
 
-        Raises ``ValueError`` for an address that the grammar does not allow.
+        Raises ``ValueError`` for an invalid address.
         """
         return self._submit(sender, [recipient], content, by_s, envelope_id, timeout_s)[0]
 
@@ -223,14 +240,19 @@
         by_s: int | None = None,
         envelope_id: str = "",
     ) -> Deferred[list[FinalResult]]:
-        """One message to several recipients, a result for each in their order; in one transaction over
-        LMTP, one after another over SMTP."""
+        """Submit one message to several recipients and return their results in the same order.
+
+        LMTP uses a single transaction, SMTP one transaction for each recipient. Raises ``ValueError`` for an
+        invalid address.
+        """
         if self.lmtp:
             return gatherResults(self._submit(sender, list(recipients), content, by_s, envelope_id, None))
-        return gatherResults([self.submit(sender, each, content, by_s, envelope_id) for each in recipients])
+        return gatherResults(
+            [self.submit(sender, recipient, content, by_s, envelope_id) for recipient in recipients]
+        )
 
     def close(self) -> None:
-        """Close idle connections; open transactions go on to their results."""
+        """Close idle connections; the others close once their transactions have results."""
         self._closing = True
         for connection in list(self._idle):
             self._idle.remove(connection)
@@ -247,14 +269,16 @@
         envelope_id: str,
         timeout_s: float | None,
     ) -> list[Deferred[FinalResult]]:
-        paths = [mail.read_address(each) for each in recipients]
+        paths = [mail.read_address(recipient) for recipient in recipients]
         results: list[Deferred[FinalResult]] = [Deferred() for _ in paths]
         timeout = self.limits.timeout_s if timeout_s is None else timeout_s
         transaction = _Transaction(
             mail.read_address(sender), paths, content, by_s, envelope_id, results, timeout
         )
         if len(self._queue) >= self.limits.max_waiting or self._closing:
-            transaction.complete_all(Refused(0.0, "closing" if self._closing else "too many messages wait"))
+            transaction.complete_all(
+                Refused(0.0, "closing" if self._closing else "too many messages are waiting")
+            )
             return results
         transaction.timer = self.reactor.callLater(timeout, self._on_result_timeout, transaction)
         self._queue.append(transaction)
@@ -278,7 +302,7 @@
             self._assign_transactions()
 
     def on_connection_idle(self, connection: _Connection) -> None:
-        """A connection is free for a transaction."""
+        """Use a connection that is ready for the next transaction."""
         if connection not in self._idle:
             self._idle.append(connection)
         self._assign_transactions()
@@ -286,7 +310,7 @@
             self.close()
 
     def on_connection_lost(self, connection: _Connection, reason: str) -> None:
-        """A connection ended: the result of its transaction is lost, or it was never submitted."""
+        """Complete the transaction of a closed connection: its result is lost, or it was never submitted."""
         if connection in self._open:
             self._open.remove(connection)
         if connection in self._idle:
@@ -298,7 +322,7 @@
                 Failed(reason, is_result_lost=True) if is_committed else Refused(0.0, reason)
             )
         elif not connection.is_ready and self._queue and not self._open:
-            # nobody listens there: what waits is refused now, not kept for a time that may not come
+            # The front can't be reached: waiting messages are refused without waiting for their timeouts.
             while self._queue:
                 self._queue.popleft().complete_all(Refused(0.0, reason))
         self._assign_transactions()
@@ -312,9 +336,9 @@
                 transaction.complete_all(
                     Failed("no answer in time", is_result_lost=True)
                     if is_committed
-                    else Refused(0.0, "no time left")
+                    else Refused(0.0, "timed out before the message was sent")
                 )
                 return
         if transaction in self._queue:
             self._queue.remove(transaction)
-        transaction.complete_all(Refused(0.0, "no connection in time"))
+        transaction.complete_all(Refused(0.0, "no connection before the timeout"))
--- a/honeybarrow/service.py
+++ b/honeybarrow/service.py
@@ -1,7 +1,8 @@
-"""One forwarder put together from checked settings: register, pool, core and mail fronts, from start to stop.
+"""The service of one forwarder: its register client, connection pool, delivery core and mail fronts.
 
-The reactor, the clocks, the files and the log are parameters, so that the same service runs on sockets and in
-simulated time. ``honeybarrow.service_parts`` builds the subsystems; here they are joined.
+The reactor, the clocks, the state storage and the log are parameters, so the same service runs on real
+sockets and in simulated time. :mod:`honeybarrow.service_parts` builds the subsystems; this module connects
+them.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 from honeybarrow import service_parts as parts
 from honeybarrow.addressing.address import Address
-from honeybarrow.config.schema import ForwarderConfig as Settings
+from honeybarrow.config.schema import ForwarderConfig
 from honeybarrow.delivery import Forwarder
 from honeybarrow.endpoint_addresses import EndpointAddresses
 from honeybarrow.errors import error_log_fields
@@ -26,11 +27,11 @@
 from honeybarrow.register import ListError, ListUpdate, PartnerDirectory
 
 EMPTY_LIST = ListUpdate(kind="full", version=0)
-LAST_WRITE_DELAY_S = 0.05  # the last replies are written in the next turn of the reactor
+LAST_WRITE_DELAY_S = 0.05  # lets the reactor write the last replies
 
 
 class StateStorage(NamedTuple):
-    """Where a part's state is kept between starts. ``load`` gives ``None`` if nothing is kept."""
+    """Storage for state that survives a restart. ``load`` returns ``None`` if nothing is stored."""
 
     load: Callable[[], bytes | None]
     save: Callable[[bytes], None]
@@ -40,7 +41,7 @@
 
 
 class FrontAddress(NamedTuple):
-    """Where a mail front listens. ``protocol``: ``smtp`` or ``lmtp``."""
+    """The address that a mail front listens on. ``protocol`` is ``smtp`` or ``lmtp``."""
 
     protocol: str
     host: str
@@ -48,17 +49,25 @@
 
 
 class Service:
-    """One forwarder process's parts, from :meth:`start` to :meth:`stop`.
-
-    ``now_us``, ``format_date`` and ``incarnation``: see :class:`honeybarrow.service_parts.Environment`.
-    ``load_saved_list`` and ``save_list`` keep the list of partners between starts, ``zone_verdict_storage``
-    the fleet's verdicts on zones. ``on_crash`` is called after a fault of the program, when all
-    messages have their final results.
+    """The subsystems of one forwarder, connected and run from :meth:`start` to :meth:`stop`.
+
+    Args:
+        settings: the checked settings of the forwarder.
+        reactor: the network and the timers.
+        now_us: see :class:`honeybarrow.service_parts.Environment`, also for ``format_date``,
+            ``incarnation``, ``seed`` and ``log``.
+        load_saved_list: returns the last saved list of partners, or ``None``.
+        save_list: saves the list of partners for the next start.
+        on_crash: called after an internal error, once all messages have their final results.
+        tls_context: the context for STARTTLS, or ``None`` without TLS.
+        check_password: checks the name and password of an account, or ``None`` without AUTH.
+        tracer: an additional observer of messages.
+        zone_verdict_storage: keeps the fleet's verdicts on zones between starts.
     """
 
     def __init__(
         self,
-        settings: Settings,
+        settings: ForwarderConfig,
         reactor: Reactor,
         now_us: Callable[[], int],
         format_date: Callable[[], str],
@@ -104,7 +113,10 @@
         self.mail_factories = parts.build_mail_factories(settings, self.mail_connections)
 
     def start(self) -> list[FrontAddress]:
-        """Listen; where each front does. Raises ``CannotListenError``."""
+        """Start listening and return the address of each mail front.
+
+        Raises ``CannotListenError`` if an address is not available.
+        """
         saved_list = self.load_saved_list()
         update = None
         if saved_list is not None:
@@ -124,11 +136,20 @@
             site = Site(MetricsResource(self.metrics))  # type: ignore[no-untyped-call]
             port = self.settings.observability.metrics_port
             self.ports.append(self.reactor.listenTCP(port, site, interface="127.0.0.1"))
-        hosts = [(f, p.getHost()) for f, p in zip(self.mail_factories, self.ports, strict=False)]
-        return [FrontAddress("lmtp" if f.lmtp else "smtp", host.host, host.port) for f, host in hosts]
+        fronts = [
+            (mail_factory, listening_port.getHost())
+            for mail_factory, listening_port in zip(self.mail_factories, self.ports, strict=False)
+        ]
+        return [
+            FrontAddress("lmtp" if mail_factory.lmtp else "smtp", address.host, address.port)
+            for mail_factory, address in fronts
+        ]
 
     def stop(self) -> Deferred[None]:
-        """Drain: admit nothing new, complete what is open within ``stop_grace``; fires when all is closed."""
+        """Stop accepting messages and complete the open ones within ``stop_grace``.
+
+        The returned Deferred fires when everything is closed.
+        """
         closing = [maybeDeferred(port.stopListening) for port in self.ports]
         self.mail_connections.start_drain()
         done: Deferred[None] = Deferred()
@@ -148,12 +169,12 @@
         return done
 
     def _on_drain_timeout(self) -> None:
-        """Complete what is still open after ``stop_grace``."""
+        """Fail the messages that are still open after ``stop_grace``."""
         self.log.warning("drain_timeout", open=self.forwarder.open_count)
         self.forwarder.fail_all("shutting down")
 
     def _build_metrics(self) -> Metrics | None:
-        """The metrics, with gauges that read the parts at the time of a scrape; ``None`` if they are off."""
+        """Return the metrics, whose gauges are read at each scrape, or ``None`` if metrics are off."""
         if not self.settings.observability.metrics_port:
             return None
         metrics = Metrics(
@@ -174,8 +195,8 @@
     def _build_forwarder(
         self, environment: parts.Environment, on_crash: Callable[[Exception], None], tracer: Observer | None
     ) -> Forwarder:
-        """The delivery core, which drives the decisions and the attempts."""
-        observers = [each for each in (self.metrics, tracer) if each is not None]
+        """Return the delivery core, which decides about messages and runs the attempts."""
+        observers = [candidate for candidate in (self.metrics, tracer) if candidate is not None]
         observer: Observer = (
             ObserverFanout(*observers) if len(observers) > 1 else [*observers, NullObserver()][0]
         )
@@ -195,7 +216,7 @@
         )
 
     def _partner_name(self, number: int) -> str:
-        """The name of a destination for metrics and logs; its number if it is not listed."""
+        """Return a destination's name for metrics and logs, or its number if it is not listed."""
         partner = self.directory.partners.get(number)
         return partner.name if partner else str(number)
 
@@ -203,7 +224,10 @@
         self.register.subscribe()
 
     def handle_list_update(self, update: MembershipUpdate) -> None:
-        """The endpoint list has changed: connections to addresses no longer listed end before any attempt."""
+        """Apply a change of the endpoint list.
+
+        Connections to addresses that are no longer listed are closed before any further attempt starts.
+        """
         for target, addresses in self.addresses.refresh(
             [*self.pool.idle_by_target, *self.pool.calls_by_target]
         ):
@@ -216,13 +240,13 @@
         return self.addresses.find(target)
 
     def _on_connect_finished(self, address: Address, outcome: str, duration_us: int) -> None:
-        """A connect to a partner's address has ended. ``outcome``: ``connected``, or how it failed."""
+        """Record the end of a connection attempt. ``outcome`` is ``connected`` or the kind of failure."""
         if outcome != "connected":
             self.log.info("address_failed", address=str(address), outcome=outcome)
         if self.metrics is not None:
             self.metrics.connect_finished(str(address), outcome, duration_us)
 
     def _new_id(self) -> str:
-        """A message id that no other message of the fleet has, at any time."""
+        """Return a message id that is unique in the fleet, also across restarts."""
         self._message_count += 1
         return f"{self.settings.name}-{self.incarnation}-{self._message_count}"
--- a/honeybarrow/service_parts.py
+++ b/honeybarrow/service_parts.py
@@ -1,4 +1,4 @@
-"""Builders of a service's parts, one for each subsystem: from checked settings to parts not yet started."""
+"""Functions that build the subsystems of a service from checked settings, without starting them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from honeybarrow.admission.admission_control import AdmissionConfig, AdmissionController
 from honeybarrow.admission.duplicate_detection import DuplicateDetector
 from honeybarrow.admission.identity import ClientConfig, ClientIdentifier
-from honeybarrow.config.schema import ForwarderConfig as Settings
+from honeybarrow.config.schema import ForwarderConfig
 from honeybarrow.delivery import Forwarder, MailConnectionPool, PoolConfig
 from honeybarrow.events import MembershipUpdate
 from honeybarrow.fleet.agent import FleetAgent, FleetConfig
@@ -33,18 +33,24 @@
 from honeybarrow.ports import Logger, Reactor
 from honeybarrow.register import PartnerDirectory, RegisterClient
 
-MAX_PING_TIMEOUT_US = 150_000  # a member that has not answered by then is probed indirectly
+MAX_PING_TIMEOUT_US = 150_000  # after it, a member without an answer is probed indirectly
 
 
 @dataclass(frozen=True, slots=True)
 class Environment:
-    """What a service is given by the process that runs it, or by a simulation of one.
-
-    ``now_us``: a monotonic clock in microseconds. ``format_date``: the date for trace lines (RFC 5322 3.3).
-    ``incarnation``: another one at each start, hexadecimal where the forwarder is in a fleet.
+    """The dependencies that a process, or a simulation of one, provides to its service.
+
+    Attributes:
+        settings: the checked settings of the forwarder.
+        reactor: the network and the timers.
+        now_us: returns the time of a monotonic clock in microseconds.
+        format_date: returns the current date for trace lines (RFC 5322 section 3.3).
+        incarnation: a string that differs at each start; hexadecimal if the forwarder belongs to a fleet.
+        seed: the seed of all random numbers.
+        log: the structured log.
     """
 
-    settings: Settings
+    settings: ForwarderConfig
     reactor: Reactor
     now_us: Callable[[], int]
     format_date: Callable[[], str]
@@ -53,8 +59,8 @@
     log: Logger
 
 
-def build_egress_policy(settings: Settings) -> EgressPolicy:
-    """The networks that partners' addresses may lie in. Raises ``ValueError`` for an invalid network."""
+def build_egress_policy(settings: ForwarderConfig) -> EgressPolicy:
+    """Return the policy on partners' addresses. Raises ``ValueError`` for an invalid network."""
     return EgressPolicy(
         settings.allowed_networks,
         settings.forbidden_networks,
@@ -64,7 +70,10 @@
 
 
 def build_address_health(environment: Environment, on_connect_finished: Callable[..., None]) -> AddressHealth:
-    """The health of partners' addresses. ``on_connect_finished``: address, outcome and microseconds."""
+    """Return the health records of partners' addresses.
+
+    ``on_connect_finished`` is called with address, outcome and duration in microseconds.
+    """
     return AddressHealth(
         random.Random(environment.seed),
         environment.settings.zone,
@@ -74,7 +83,7 @@
 
 
 def build_pool(environment: Environment, health: AddressHealth) -> MailConnectionPool:
-    """The connections to partners."""
+    """Return the pool of connections to partners."""
     pool = environment.settings.pool
     limits = PoolConfig(pool.max_idle_per_endpoint, pool.connect_timeout_us / 1e6, pool.idle_timeout_us / 1e6)
     return MailConnectionPool(
@@ -88,7 +97,7 @@
     load_verdicts: Callable[[], bytes | None],
     save_verdicts: Callable[[bytes], None],
 ) -> FleetAgent | None:
-    """The member of the fleet, or ``None`` where the settings name no fleet."""
+    """Return this forwarder's fleet member, or ``None`` if the settings name no fleet."""
     settings, fleet = environment.settings, environment.settings.fleet
     if fleet is None:
         return None
@@ -135,7 +144,7 @@
     on_update: Callable[[MembershipUpdate], None],
     save_list: Callable[[bytes], None],
 ) -> RegisterClient:
-    """The client of the partners' register, which keeps ``directory`` up to date."""
+    """Return the client of the partners' register, which keeps ``directory`` up to date."""
     register = environment.settings.register
     return RegisterClient(
         environment.reactor,
@@ -150,8 +159,8 @@
     )
 
 
-def build_router(settings: Settings, directory: PartnerDirectory) -> MessageRouter:
-    """The routing of recipients to classes and partners."""
+def build_router(settings: ForwarderConfig, directory: PartnerDirectory) -> MessageRouter:
+    """Return the router from recipients to message classes and partners."""
     routing = settings.routing
     return MessageRouter(
         RoutingRules(
@@ -163,15 +172,15 @@
             routing.is_order_key_required,
             routing.is_tenant_required,
         ),
-        {each.name: each.deadline_us for each in settings.classes},
-        frozenset(each.name for each in settings.classes if each.is_ordered),
+        {message_class.name: message_class.deadline_us for message_class in settings.classes},
+        frozenset(message_class.name for message_class in settings.classes if message_class.is_ordered),
         directory.find_partner,
         lambda: directory.version > 0,
     )
 
 
-def build_admission_control(settings: Settings, seed: int) -> AdmissionController:
-    """The admission control of sessions and messages."""
+def build_admission_control(settings: ForwarderConfig, seed: int) -> AdmissionController:
+    """Return the admission control of sessions and messages."""
     fronts = settings.mail_front
     limits = AdmissionConfig(
         fronts.max_connections, settings.max_open, fronts.max_buffered_bytes, settings.max_retry_after_us
@@ -183,9 +192,11 @@
 def build_submission_service(
     environment: Environment, forwarder: Forwarder, admission: AdmissionController
 ) -> MailSubmissionService:
-    """The submission of the fronts' messages to the core."""
+    """Return the service that submits the fronts' messages to the delivery core."""
     fronts = environment.settings.mail_front
-    classes = {each.name: each for each in environment.settings.policy_settings().classes}
+    classes = {
+        message_class.name: message_class for message_class in environment.settings.policy_settings().classes
+    }
     duplicates = DuplicateDetector(fronts.max_retained_results, fronts.result_retention_us)
     return MailSubmissionService(
         forwarder, admission, duplicates, classes, environment.reactor, environment.now_us, environment.log
@@ -201,17 +212,21 @@
     tls_context: Any,
     check_password: Callable[[str, bytes], Deferred[bool]] | None,
 ) -> ConnectionRegistry:
-    """The clients' connections. ``tls_context``: for STARTTLS; ``check_password``: of an account."""
+    """Return the registry of client connections.
+
+    ``tls_context`` is used for STARTTLS, ``check_password`` for AUTH; both may be ``None``.
+    """
     settings, fronts = environment.settings, environment.settings.mail_front
-    known = [
-        ClientConfig(each.name, each.networks, each.certificate, each.account) for each in settings.clients
+    known_clients = [
+        ClientConfig(client.name, client.networks, client.certificate, client.account)
+        for client in settings.clients
     ]
     return ConnectionRegistry(
         settings.name,
         admission,
         submissions,
         router,
-        ClientIdentifier(settings.allowed_clients, known),
+        ClientIdentifier(settings.allowed_clients, known_clients),
         mail.SessionLimits(
             max_message_bytes=fronts.max_message_bytes,
             max_recipients=fronts.max_recipients,
@@ -228,6 +243,9 @@
     )
 
 
-def build_mail_factories(settings: Settings, registry: ConnectionRegistry) -> list[MailServerFactory]:
-    """A protocol factory for each listener of the settings, in their order."""
-    return [MailServerFactory(registry, each.protocol == "lmtp", each.require) for each in settings.listeners]
+def build_mail_factories(settings: ForwarderConfig, registry: ConnectionRegistry) -> list[MailServerFactory]:
+    """Return a protocol factory for each listener, in the order of the settings."""
+    return [
+        MailServerFactory(registry, listener.protocol == "lmtp", listener.require)
+        for listener in settings.listeners
+    ]
