--- a/honeybarrow/config/__init__.py
+++ b/honeybarrow/config/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: a Starlark script into checked records."""
+"""The settings language: Starlark scripts that are evaluated to checked records."""
 
 from honeybarrow.config.schema import ForwarderConfig
 from honeybarrow.config.script import (
--- a/honeybarrow/config/schema.py
+++ b/honeybarrow/config/schema.py
@@ -1,8 +1,8 @@
-"""The settings of a forwarder as checked records. Durations are integers in microseconds.
+"""The records that hold a forwarder's settings. Durations are integers in microseconds.
 
-A record's ``rename`` table gives the script's names of fields, which are the users' and stay.
-
-``honeybarrow.config.script`` makes them from a Starlark script; nothing here reads files.
+The names of fields in scripts are a public interface: where a field has another name in the code, the
+``rename`` table of its record gives the name in scripts. :mod:`honeybarrow.config.script` creates the
+records from a Starlark script; this module reads no files.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 Micros = Annotated[int, Meta(ge=0)]
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
 Port = Annotated[int, Meta(ge=0, le=65535)]
-Loopback = Annotated[str, Meta(min_length=1, max_length=255)]
+Host = Annotated[str, Meta(min_length=1, max_length=255)]
 
 
 class StrictRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A record whose unknown fields are errors. ``script_word``: the word that makes one in a script."""
+    """A record that rejects unknown fields. ``script_word`` is the function that creates it in a script."""
 
     script_word: ClassVar[str] = ""
 
@@ -48,7 +48,7 @@
         "is_ordered": "keep_order",
     },
 ):
-    """One class of message; as :class:`honeybarrow.settings.MessageClass`."""
+    """A class of messages; see :class:`honeybarrow.settings.MessageClass`."""
 
     script_word: ClassVar[str] = "message_class"
     name: Name
@@ -75,7 +75,7 @@
         "has_separate_routes": "separate_routes",
     },
 ):
-    """One kind of destination. An attempt by mail carries one message, so there are no batches."""
+    """A kind of destination. A mail attempt carries a single message, so there is no batch size."""
 
     script_word: ClassVar[str] = "kind"
     name: Name
@@ -83,14 +83,16 @@
 
 
 class TenantConfig(StrictRecord, frozen=True):
-    """One tenant, and the messages a second that it may submit to all forwarders together."""
+    """A tenant and its quota in messages per second over all forwarders."""
 
     script_word: ClassVar[str] = "tenant"
     name: Name
     quota: Annotated[float, Meta(gt=0.0)]
 
 
-SOURCE = re.compile(r"recipient\.(local|domain|detail|base)|sender\.(local|domain)|header:[A-Za-z0-9-]{1,60}")
+SOURCE_PATTERN = re.compile(
+    r"recipient\.(local|domain|detail|base)|sender\.(local|domain)|header:[A-Za-z0-9-]{1,60}"
+)
 
 
 class RoutingConfig(
@@ -102,10 +104,11 @@
         "is_tenant_required": "need_tenant",
     },
 ):
-    """Where class, destination, tenant, order key and time left of a message are read.
+    """The sources of a message's class, destination, tenant, order key and remaining time.
 
-    Sources: ``recipient.local``, ``recipient.base`` and ``recipient.detail`` (before and after a plus),
-    ``recipient.domain``, ``sender.local``, ``sender.domain``, ``header:NAME``. An empty one: not read.
+    A source is ``recipient.local``, ``recipient.base`` or ``recipient.detail`` (the local part before and
+    after a plus sign), ``recipient.domain``, ``sender.local``, ``sender.domain`` or ``header:NAME``. An empty
+    source means that the value is not read.
     """
 
     script_word: ClassVar[str] = "routing"
@@ -126,21 +129,21 @@
             "time_left_ms": self.time_left_ms,
         }
         for name, source in sources.items():
-            if source and not SOURCE.fullmatch(source):
+            if source and not SOURCE_PATTERN.fullmatch(source):
                 raise ValueError(f"{name}: no such source as {source!r}")
         for name in ("message_class", "destination"):
             if not sources[name].startswith("recipient."):
-                # what is read at the end of data can't be rejected at RCPT, for one recipient of several
+                # A header is known only after the data, too late to reject a single recipient at RCPT.
                 raise ValueError(f"{name}: must be read from the recipient")
 
 
 class ListenerConfig(StrictRecord, frozen=True):
-    """One listener: SMTP or LMTP. ``require``: what an SMTP client must have done before MAIL."""
+    """A listening address for SMTP or LMTP. ``require`` is what an SMTP client must complete before MAIL."""
 
     script_word: ClassVar[str] = "listen"
     protocol: Literal["smtp", "lmtp"]
     port: Port
-    host: Loopback = "127.0.0.1"
+    host: Host = "127.0.0.1"
     require: Literal["none", "tls", "auth"] = "none"
 
     def __post_init__(self) -> None:
@@ -149,10 +152,13 @@
 
 
 class ClientProgramConfig(StrictRecord, frozen=True):
-    """A client program: how it is identified, and its fair-share weight when capacity is short.
+    """A client program, how it is identified, and its weight when capacity is shared.
 
-    ``networks`` name it by address, ``certificate`` by the common name of a client certificate,
-    ``account`` by AUTH.
+    Attributes:
+        networks: the networks of its addresses.
+        certificate: the common name of its client certificate.
+        account: the account that it authenticates with (AUTH).
+        weight: its weight in fair sharing when capacity is short.
     """
 
     script_word: ClassVar[str] = "client_program"
@@ -164,7 +170,11 @@
 
 
 class TlsConfig(StrictRecord, frozen=True):
-    """STARTTLS: PEM files of certificate chain and key; ``client_ca`` signs client certificates."""
+    """The PEM files for STARTTLS.
+
+    ``certificate`` holds the certificate chain, ``key`` the private key and ``client_ca`` the certificates of
+    the authorities that sign client certificates.
+    """
 
     script_word: ClassVar[str] = "tls"
     certificate: Annotated[str, Meta(min_length=1)]
@@ -188,7 +198,14 @@
         "max_hops": "hops",
     },
 ):
-    """Bounds of the clients' sessions: counts, bytes and microseconds."""
+    """The limits of client sessions: counts, bytes and durations in microseconds.
+
+    Attributes:
+        max_buffered_bytes: the size of the messages being received, over all sessions.
+        result_retention_us: how long final results are kept for messages that are submitted again.
+        max_retained_results: the number of final results that are kept.
+        max_hops: the number of Received lines above which a message is rejected as a loop.
+    """
 
     script_word: ClassVar[str] = "fronts"
     max_connections: Positive = 500
@@ -197,10 +214,10 @@
     max_errors: Positive = 10
     command_timeout_us: Positive = 300_000_000  # RFC 5321 4.5.3.2.7
     data_timeout_us: Positive = 180_000_000  # RFC 5321 4.5.3.2.5
-    max_buffered_bytes: Positive = 64 << 20  # of messages being read, in all sessions together
-    result_retention_us: Micros = 60_000_000  # final results, for messages that are submitted again
+    max_buffered_bytes: Positive = 64 << 20
+    result_retention_us: Micros = 60_000_000
     max_retained_results: Positive = 20_000
-    max_hops: Positive = 50  # RFC 5321 6.3 asks for 100 at least where loops are counted so; see docs/mail.md
+    max_hops: Positive = 50  # below the 100 that RFC 5321 6.3 recommends; see docs/mail.md
 
 
 class PoolConfig(
@@ -212,7 +229,7 @@
         "idle_timeout_us": "idle",
     },
 ):
-    """Bounds of the connections to partners: counts and microseconds."""
+    """The limits of connections to partners: counts and durations in microseconds."""
 
     script_word: ClassVar[str] = "pool"
     max_idle_per_endpoint: Positive = 8
@@ -227,16 +244,16 @@
         "answer_timeout_us": "answer_timeout",
     },
 ):
-    """Where the register of partners listens, and the file that keeps the last list between starts."""
+    """The address of the partners' register, and the file that keeps its last list between starts."""
 
     script_word: ClassVar[str] = "register"
     port: Port
-    host: Loopback = "127.0.0.1"
+    host: Host = "127.0.0.1"
     saved_list: str = ""
     answer_timeout_us: Positive = 5_000_000
 
 
-PEER = re.compile(r"([A-Za-z0-9][A-Za-z0-9._-]{0,63})@(.+)")
+PEER_PATTERN = re.compile(r"([A-Za-z0-9][A-Za-z0-9._-]{0,63})@(.+)")
 ZonePath = Annotated[
     str, Meta(max_length=128, pattern=r"^([A-Za-z0-9][A-Za-z0-9._-]*(/[A-Za-z0-9][A-Za-z0-9._-]*)*)?$")
 ]
@@ -255,12 +272,22 @@
         "max_ejected_zones": "out_most",
     },
 ):
-    """The fleet of this forwarder (``docs/fleet.md``).
-
-    ``listen``: host and port, for datagrams and streams. ``peers``: ``name@host:port`` of some other members,
-    through which it joins; its own entry is passed over, so that all may have the same list. ``address``:
-    what the others are told, if not ``listen``. ``zone``: a zone as the register's list has it; the
-    forwarder's own if not given. ``saved_verdicts``: a file for the verdicts on zones.
+    """The fleet that this forwarder belongs to (``docs/fleet.md``).
+
+    Attributes:
+        name: the name of the fleet.
+        listen: the host and port for datagrams and streams.
+        peers: some members as ``name@host:port``, through which this one joins. Its own entry is ignored,
+            so all members can share one list.
+        zone: the zone of this member, named as in the register's list; by default that of the forwarder.
+        address: the host and port that the other members use, if it differs from ``listen``.
+        saved_verdicts: the file that keeps the verdicts on zones.
+        probe_interval_us: the protocol period of SWIM.
+        min_recovery_wait_us: the wait before the first probe of an ejected zone; later waits are longer.
+        max_recovery_wait_us: the longest wait between probes of an ejected zone.
+        recovery_probe_duration_us: the duration of a probe of an ejected zone.
+        relapse_window_us: the time after a recovery in which another outage counts as a relapse.
+        max_ejected_zones: the number of zones that may be ejected at once; 0 for half of those listed.
     """
 
     script_word: ClassVar[str] = "fleet"
@@ -270,12 +297,12 @@
     zone: ZonePath = ""
     address: str = ""
     saved_verdicts: str = ""
-    probe_interval_us: Positive = 500_000  # between two probes of members (SWIM's protocol period)
-    min_recovery_wait_us: Positive = 2_000_000  # before the first probe of an ejected zone; grows from there
-    max_recovery_wait_us: Positive = 60_000_000  # the longest wait between probes
-    recovery_probe_duration_us: Positive = 2_000_000  # how long a probe lasts
-    relapse_window_us: Positive = 60_000_000  # an outage within it counts as a relapse
-    max_ejected_zones: Annotated[int, Meta(ge=0)] = 0  # at once; 0: half of those listed
+    probe_interval_us: Positive = 500_000
+    min_recovery_wait_us: Positive = 2_000_000
+    max_recovery_wait_us: Positive = 60_000_000
+    recovery_probe_duration_us: Positive = 2_000_000
+    relapse_window_us: Positive = 60_000_000
+    max_ejected_zones: Annotated[int, Meta(ge=0)] = 0
 
     def __post_init__(self) -> None:
         if parse_host_port(self.listen) is None:
@@ -286,7 +313,7 @@
             raise ValueError("last_trial is under first_trial")
         seen: dict[str, None] = {}
         for text in self.peers:
-            match = PEER.fullmatch(text)
+            match = PEER_PATTERN.fullmatch(text)
             if match is None or parse_host_port(match.group(2)) is None:
                 raise ValueError(f"peers: {text!r} is no name@host:port")
             if match.group(1) in seen:
@@ -294,11 +321,11 @@
             seen[match.group(1)] = None
 
     def peer_addresses(self) -> dict[str, tuple[str, int]]:
-        """The peers' hosts and ports by name."""
+        """Return the host and port of each peer by its name."""
         found = {}
         for text in self.peers:
-            name, _, place = text.partition("@")
-            found[name] = parse_host_port(place) or ("", 0)
+            name, _, address = text.partition("@")
+            found[name] = parse_host_port(address) or ("", 0)
         return found
 
 
@@ -312,8 +339,10 @@
 ):
     """Metrics and traces, both off by default.
 
-    ``metrics_port``: where ``/metrics`` is served on loopback, 0 for none. ``spans_file``: a file that gets
-    spans as JSON Lines, of ``sampled_share`` of the messages (0.0 to 1.0).
+    Attributes:
+        metrics_port: the loopback port that serves ``/metrics``; 0 to turn metrics off.
+        spans_file: the file that spans are appended to as JSON Lines; empty to turn traces off.
+        sampled_share: the share of messages that are traced, from 0.0 to 1.0.
     """
 
     script_word: ClassVar[str] = "observe"
@@ -335,7 +364,7 @@
         "ambiguous_key_rest_us": "settle",
     },
 ):
-    """The parameters of the sending policy: microseconds, shares and multiples (``docs/decisions.md``)."""
+    """The parameters of the sending policy: durations, shares and multiples (``docs/decisions.md``)."""
 
     script_word: ClassVar[str] = "rules"
     drain_grace_us: Micros = 250_000
@@ -371,7 +400,19 @@
         "drain_timeout_us": "stop_grace",
     },
 ):
-    """The settings of one forwarder process."""
+    """The settings of one forwarder process.
+
+    Attributes:
+        allowed_clients: the networks whose clients may connect.
+        allowed_networks: the networks that partners' addresses may lie in.
+        forbidden_networks: the parts of ``allowed_networks`` that partners' addresses may not lie in.
+        socket_directories: the directories that partners' Unix sockets may lie in. None of them may be
+            writable by everyone.
+        may_share_networks: whether a partner may have addresses in the networks of another partner.
+        zone: the network zone of this forwarder, whose addresses are tried first.
+        accounts_file: the file of accounts for AUTH.
+        drain_timeout_us: the time for open messages to complete when the process stops.
+    """
 
     script_word: ClassVar[str] = "forwarder"
     name: Name
@@ -382,13 +423,11 @@
     tenants: tuple[TenantConfig, ...] = ()
     clients: tuple[ClientProgramConfig, ...] = ()
     allowed_clients: tuple[str, ...] = ("127.0.0.0/8", "::1/128")
-    # Networks that partners' addresses may lie in, and those of them that they may not.
     allowed_networks: tuple[str, ...] = ("127.0.0.0/8", "::1/128")
     forbidden_networks: tuple[str, ...] = ()
-    # Directories that their Unix sockets may lie in: none that anybody may write to.
     socket_directories: tuple[str, ...] = ("/run", "/var/run")
-    may_share_networks: bool = False  # whether a partner may have addresses in the networks of another
-    zone: str = ""  # the network zone of this forwarder: addresses there come first
+    may_share_networks: bool = False
+    zone: str = ""
     tls: TlsConfig | None = None
     accounts_file: str = ""
     routing: RoutingConfig = RoutingConfig()
@@ -417,7 +456,7 @@
         if self.accounts_file and self.tls is None:
             raise ValueError("accounts: passwords are taken inside TLS only, and tls is missing")
         if any(item.require != "none" for item in self.listeners) and self.tls is None:
-            raise ValueError("listen: what it requires needs tls")
+            raise ValueError("listen: require needs tls, and tls is missing")
         if self.fleet is not None and not any(name != self.name for name in self.fleet.peer_addresses()):
             raise ValueError("fleet: peers name no other forwarder")
         try:
@@ -425,12 +464,12 @@
             ClientIdentifier(self.allowed_clients, [ClientConfig(c.name, c.networks) for c in self.clients])
         except ValueError as error:
             raise ValueError(f"allow, reach, refused, clients: {error}") from None
-        places = [(item.host, item.port) for item in self.listeners if item.port]
-        if len(set(places)) < len(places):
+        addresses = [(item.host, item.port) for item in self.listeners if item.port]
+        if len(set(addresses)) < len(addresses):
             raise ValueError("listen: one address is given twice")
 
     def policy_settings(self) -> Settings:
-        """The settings of the decision module."""
+        """Return the settings of the sending policy."""
         return Settings(
             classes=tuple(
                 CoreMessageClass(
--- a/honeybarrow/config/script.py
+++ b/honeybarrow/config/script.py
@@ -1,7 +1,8 @@
-"""Reads a Starlark script into checked records. An error names file, line and field.
+"""Evaluation of Starlark settings scripts to checked records.
 
-Each record has a word in the language, ``message_class(...)`` or ``forwarder(...)``; the call is checked
-where it stands, so the error names its line. Durations are texts like ``"250ms"`` or ``"4s"``.
+Each record type has a function in scripts, such as ``message_class(...)`` or ``forwarder(...)``. Its
+arguments are checked when it is called, so errors name the file, the line and the field. Durations are
+strings such as ``"250ms"`` or ``"4s"``.
 """
 
 from __future__ import annotations
@@ -20,9 +21,9 @@
 from honeybarrow.errors import HoneybarrowError
 
 Record = TypeVar("Record", bound=schema.StrictRecord)
-UNITS = {"us": 1, "ms": 1_000, "s": 1_000_000, "m": 60_000_000}
-DURATION = re.compile(r"(\d+(?:\.\d+)?)(us|ms|s|m)")
-MAX_SCRIPT_BYTES = 1 << 20  # a settings script is small; of a wrong file no more is read
+MICROSECONDS_PER_UNIT = {"us": 1, "ms": 1_000, "s": 1_000_000, "m": 60_000_000}
+DURATION_PATTERN = re.compile(r"(\d+(?:\.\d+)?)(us|ms|s|m)")
+MAX_SCRIPT_BYTES = 1 << 20  # bounds the memory for a wrong file
 
 
 class ConfigError(HoneybarrowError):
@@ -34,8 +35,8 @@
 
 
 WORDS: dict[str, type[msgspec.Struct]] = {
-    record.script_word: record
-    for record in (
+    record_type.script_word: record_type
+    for record_type in (
         schema.MessageClassConfig,
         schema.DestinationKindConfig,
         schema.TenantConfig,
@@ -55,40 +56,41 @@
 
 
 def parse_duration_us(text: str) -> int:
-    """``"250ms"``, ``"1.5s"`` and the like in microseconds. Raises ``ValueError``."""
-    match = DURATION.fullmatch(text)
+    """Return a duration such as ``"250ms"`` or ``"1.5s"`` in microseconds. Raises ``ValueError``."""
+    match = DURATION_PATTERN.fullmatch(text)
     if not match:
         raise ValueError(f"{text!r} is no duration: write it like '250ms' or '4s'")
-    return round(float(match.group(1)) * UNITS[match.group(2)])
+    return round(float(match.group(1)) * MICROSECONDS_PER_UNIT[match.group(2)])
 
 
 def read_script(path: Path, words: Mapping[str, type[msgspec.Struct]] = WORDS) -> dict[str, Any]:
-    """The records that the script's top level names, by name.
+    """Evaluate a script and return the values of its top-level variables by name.
 
-    Raises :class:`ConfigError` with file, line and field.
+    ``words`` maps the functions of the language to their record types. Raises :class:`ConfigError` with file,
+    line and field.
     """
     try:
         text = path.read_bytes()[: MAX_SCRIPT_BYTES + 1].decode("utf-8")
     except (OSError, UnicodeDecodeError) as error:
         raise ConfigError(f"{path}: {error}") from None
     if len(text) > MAX_SCRIPT_BYTES:
-        raise ConfigError(f"{path}: longer than {MAX_SCRIPT_BYTES} octets")
+        raise ConfigError(f"{path}: longer than {MAX_SCRIPT_BYTES} bytes")
     return evaluate_script(str(path), text, words)
 
 
 def evaluate_script(
     name: str, text: str, words: Mapping[str, type[msgspec.Struct]] = WORDS
 ) -> dict[str, Any]:
-    """As :func:`read_script`, for a text already read; ``name`` is in its errors."""
-    made: list[msgspec.Struct] = []
+    """Evaluate a script given as text, like :func:`read_script`. ``name`` is the file name in errors."""
+    records: list[msgspec.Struct] = []
     module = starlark.Module()
-    for word, record in words.items():
-        module.add_callable(word, _make_word_function(word, record, made))
+    for word, record_type in words.items():
+        module.add_callable(word, _make_record_function(word, record_type, records))
     try:
         ast = starlark.parse(name, text + "\n")
-        named = sorted(set(re.findall(r"^([A-Za-z_]\w*)\s*=[^=]", text, re.MULTILINE)))
+        variables = sorted(set(re.findall(r"^([A-Za-z_]\w*)\s*=[^=]", text, re.MULTILINE)))
         starlark.eval(module, ast, starlark.Globals.standard())
-        found = {each: _resolve_records(module[each], made) for each in named}
+        found = {variable: _resolve_records(module[variable], records) for variable in variables}
     except starlark.StarlarkError as error:
         raise ConfigError(_format_error(name, str(error))) from None
     except (KeyError, TypeError, ValueError) as error:
@@ -97,17 +99,23 @@
 
 
 def find_all(records: dict[str, Any], record_type: type[Record]) -> list[Record]:
-    """The records of this type that the script names, alone or in a list, in the order of the names."""
+    """Return the records of one type, in the order of their variables.
+
+    Records are found as values of variables and as items of lists; each is returned once.
+    """
     found: list[Record] = []
     for value in records.values():
-        for each in value if isinstance(value, list) else [value]:
-            if isinstance(each, record_type) and each not in found:
-                found.append(each)
+        for candidate in value if isinstance(value, list) else [value]:
+            if isinstance(candidate, record_type) and candidate not in found:
+                found.append(candidate)
     return found
 
 
 def find_one(records: dict[str, Any], record_type: type[Record], path: Path, name: str = "") -> Record:
-    """The one record of this type, or the one of this name. Raises :class:`ConfigError`."""
+    """Return the only record of a type, or the only one with the given name.
+
+    Raises :class:`ConfigError` if there is none or more than one. ``path`` is the file name in errors.
+    """
     found = find_all(records, record_type)
     word = record_type.script_word
     if name:
@@ -119,44 +127,49 @@
     return found[0]
 
 
-RECORD_MARK = "record made by the script"
+# Starlark values can't hold Python objects, so a script sees a record as a dict of this key and an index.
+RECORD_KEY = "record made by the script"
 
 
-def _make_word_function(
-    word: str, record: type[msgspec.Struct], made: list[msgspec.Struct]
+def _make_record_function(
+    word: str, record_type: type[msgspec.Struct], records: list[msgspec.Struct]
 ) -> Callable[..., Any]:
-    fields = {field.encode_name: field.type for field in msgspec.structs.fields(record)}
+    """Return the function that scripts call to create a record of this type.
+
+    It appends the record to ``records`` and returns a reference to it.
+    """
+    fields = {field.encode_name: field.type for field in msgspec.structs.fields(record_type)}
 
-    def build_record(*args: Any, **given: Any) -> dict[str, Any]:
+    def build_record(*args: Any, **arguments: Any) -> dict[str, Any]:
         names = list(fields)
         for i, value in enumerate(args):
-            if i >= len(names) or names[i] in given:
+            if i >= len(names) or names[i] in arguments:
                 raise ValueError(f"{word}: value {i + 1} has no field, or its field is named too")
-            given[names[i]] = value
+            arguments[names[i]] = value
         values = {}
-        for name, value in given.items():
+        for name, value in arguments.items():
             if name not in fields:
                 raise ValueError(f"{word}: unknown field {name!r}; it has {', '.join(names)}")
             try:
-                value = _resolve_records(value, made)
+                value = _resolve_records(value, records)
                 if isinstance(value, str) and _is_integer(fields[name]):
                     value = parse_duration_us(value)
             except ValueError as error:
                 raise ValueError(f"{word}: field {name!r}: {error}") from None
             values[name] = value
         try:
-            result = msgspec.convert(values, record, strict=True)
+            result = msgspec.convert(values, record_type, strict=True)
         except msgspec.ValidationError as error:
             text = re.sub(r" - at `\$\.?([^`]*)`", r" (field '\1')", str(error))
             raise ValueError(f"{word}: {text}") from None
-        made.append(result)
-        return {RECORD_MARK: len(made) - 1}
+        records.append(result)
+        return {RECORD_KEY: len(records) - 1}
 
     return build_record
 
 
 def _is_integer(hint: Any) -> bool:
-    """Whether a field's type is a whole number, through its annotations."""
+    """Return whether a field holds an integer, ignoring annotations and optional types."""
     while hasattr(hint, "__metadata__"):
         hint = hint.__origin__
     if isinstance(hint, types.UnionType):
@@ -164,20 +177,20 @@
     return hint is int
 
 
-def _resolve_records(value: Any, made: list[msgspec.Struct]) -> Any:
-    """Replace the marks of records by the records, in any nesting."""
+def _resolve_records(value: Any, records: list[msgspec.Struct]) -> Any:
+    """Return the value with each reference to a record replaced by the record, at any depth."""
     if isinstance(value, dict):
-        if set(value) == {RECORD_MARK}:
-            return made[value[RECORD_MARK]]
-        return {key: _resolve_records(item, made) for key, item in value.items()}
+        if set(value) == {RECORD_KEY}:
+            return records[value[RECORD_KEY]]
+        return {key: _resolve_records(item, records) for key, item in value.items()}
     if isinstance(value, list | tuple):
-        return [_resolve_records(item, made) for item in value]
+        return [_resolve_records(item, records) for item in value]
     return value
 
 
 def _format_error(name: str, text: str) -> str:
-    """A message of one line: file, line, and what is wrong."""
-    place = re.search(r"-->\s*(\S+?):(\d+)(?::\d+)?", text)
-    what = re.search(r"error: (?:\w*Error: )?(.*)", text)
-    where = f"{name}:{place.group(2)}" if place else name
-    return f"{where}: {what.group(1) if what else ' '.join(text.split())}"
+    """Return a one-line message with file, line and cause."""
+    location = re.search(r"-->\s*(\S+?):(\d+)(?::\d+)?", text)
+    cause = re.search(r"error: (?:\w*Error: )?(.*)", text)
+    prefix = f"{name}:{location.group(2)}" if location else name
+    return f"{prefix}: {cause.group(1) if cause else ' '.join(text.split())}"
