--- a/honeybarrow/cli/__init__.py
+++ b/honeybarrow/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line; the only place that names the reactor."""
+"""The command line interface."""
 
 from honeybarrow.cli.main import main
 
--- a/honeybarrow/cli/exits.py
+++ b/honeybarrow/cli/exits.py
@@ -1,4 +1,4 @@
-"""Exit statuses, and how a command ends with an error."""
+"""Exit statuses of the commands, and the exit with an error message."""
 
 from __future__ import annotations
 
@@ -9,12 +9,15 @@
 
 from honeybarrow.errors import USAGE_EXIT_STATUS, HoneybarrowError, format_error
 
-BROKEN, CANNOT_LISTEN, FAULT = 1, 3, 70
+FAILURE, CANNOT_LISTEN, INTERNAL_ERROR = 1, 3, 70
 
 
-def fail(what: str | BaseException, status: int = USAGE_EXIT_STATUS) -> NoReturn:
-    """End the program with what is wrong; for an error of ours with its remedy, code and status."""
-    if isinstance(what, HoneybarrowError):
-        status = what.status
-    click.echo(f"honeybarrow: {what if isinstance(what, str) else format_error(what)}", err=True)
+def fail(error: str | BaseException, status: int = USAGE_EXIT_STATUS) -> NoReturn:
+    """Print an error and exit.
+
+    A :class:`HoneybarrowError` is printed with its remedy and code, and its own status replaces ``status``.
+    """
+    if isinstance(error, HoneybarrowError):
+        status = error.status
+    click.echo(f"honeybarrow: {error if isinstance(error, str) else format_error(error)}", err=True)
     sys.exit(status)
--- a/honeybarrow/cli/fleet.py
+++ b/honeybarrow/cli/fleet.py
@@ -1,4 +1,4 @@
-"""``honeybarrow fleet``: queries a running forwarder for its fleet's status, and overrides zone verdicts."""
+"""``honeybarrow fleet``: shows the fleet status of a running forwarder and overrides verdicts on zones."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 REPLY_TIMEOUT_S = 5.0
 
 file_argument = click.argument("file", type=click.Path(path_type=Path))
-name_option = click.option("--name", default="", help="The forwarder of this name, where FILE has several.")
+name_option = click.option("--name", default="", help="Name of the forwarder, if FILE defines several.")
 json_option = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 
 
 @click.group()
 def fleet() -> None:
-    """The status of the fleet of a running forwarder; FILE has its settings."""
+    """Show or override the fleet status of a running forwarder, whose settings are in FILE."""
 
 
 @fleet.command("members")
@@ -47,7 +47,7 @@
 @name_option
 @json_option
 def list_members(file: Path, name: str, as_json: bool) -> None:
-    """Who belongs to the fleet, in which zone and state."""
+    """List the members of the fleet with their zones and states."""
     rows = query_forwarder(file, name, StatusQuery("members"))
     print_table(rows, ("name", "zone", "state", "since_s", "address"), as_json)
 
@@ -57,7 +57,7 @@
 @name_option
 @json_option
 def list_zones(file: Path, name: str, as_json: bool) -> None:
-    """The status of each zone, and the verdict that it rests on."""
+    """List the zones with their status and the verdicts behind it."""
     print_zones(query_forwarder(file, name, StatusQuery("zones")), as_json)
 
 
@@ -65,21 +65,25 @@
 @file_argument
 @click.argument("zone")
 @click.option("--out", "override", flag_value="out", help="Avoid the zone.")
-@click.option("--in", "override", flag_value="in", help="Use the zone, whatever the fleet decides.")
+@click.option("--in", "override", flag_value="in", help="Use the zone regardless of the fleet's verdict.")
 @click.option(
-    "--withdraw", "override", flag_value="withdraw", help="End an override: the fleet decides again."
+    "--withdraw", "override", flag_value="withdraw", help="End an override and return to the fleet's verdict."
 )
 @click.option(
-    "--for", "duration", default="10m", show_default=True, help="How long it holds, such as 90s or 15m."
+    "--for",
+    "duration",
+    default="10m",
+    show_default=True,
+    help="Duration of the override, such as 90s or 15m.",
 )
 @name_option
 @json_option
 def set_override(
     file: Path, zone: str, override: str | None, duration: str, name: str, as_json: bool
 ) -> None:
-    """Override the verdicts on a ZONE or region, for all forwarders of the fleet."""
+    """Override the verdicts on a ZONE or region for all forwarders of the fleet."""
     if override is None:
-        raise click.UsageError("one of --out, --in and --withdraw is wanted")
+        raise click.UsageError("one of --out, --in and --withdraw is required")
     try:
         override_us = parse_duration_us(duration)
     except ValueError as error:
@@ -89,7 +93,7 @@
 
 
 def print_zones(rows: list[dict[str, Any]], as_json: bool) -> None:
-    """Print zones as a table, or as JSON."""
+    """Print zones as a table or as JSON."""
     print_table(
         rows,
         ("zone", "members_of", "stand", "held", "held_for_s", "since_s", "number", "lost", "votes"),
@@ -98,7 +102,7 @@
 
 
 def print_table(rows: list[dict[str, Any]], columns: tuple[str, ...], as_json: bool) -> None:
-    """Print rows with aligned columns, or as JSON."""
+    """Print rows with aligned columns or as JSON."""
     if as_json:
         click.echo(json.dumps(rows, indent=2))
         return
@@ -110,7 +114,10 @@
 
 
 def query_forwarder(file: Path, name: str, body: StatusQuery | SetOverride) -> list[dict[str, Any]]:
-    """Query the forwarder of these settings; exits with 1 without a reply, with 2 on an error reply."""
+    """Send a query to the forwarder of a settings file and return the rows of its reply.
+
+    Exits with status 1 if there is no reply and with 2 if the reply is an error.
+    """
     try:
         settings = config.find_one(
             config.read_script(file, SCENARIO_WORDS), schema.ForwarderConfig, file, name
@@ -119,13 +126,13 @@
         raise click.UsageError(format_error(error)) from None
     if settings.fleet is None:
         raise click.UsageError(f"{file}: forwarder {settings.name} has no fleet")
-    place = parse_host_port(settings.fleet.listen)
-    assert place is not None  # checked with the settings
+    address = parse_host_port(settings.fleet.listen)
+    assert address is not None  # validated by the settings
     try:
-        reply = exchange_frame(place, settings.fleet.name, body)
+        reply = exchange_frame(address, settings.fleet.name, body)
     except (OSError, WireError) as error:
-        where = f"{settings.name} at {settings.fleet.listen}"
-        click.echo(f"honeybarrow: no answer from {where}: {format_error(error)}", err=True)
+        forwarder = f"{settings.name} at {settings.fleet.listen}"
+        click.echo(f"honeybarrow: no answer from {forwarder}: {format_error(error)}", err=True)
         sys.exit(1)
     if reply.error:
         click.echo(f"honeybarrow: {reply.error}", err=True)
@@ -134,10 +141,10 @@
     return rows
 
 
-def exchange_frame(place: tuple[str, int], fleet_name: str, body: FrameBody) -> OperatorReply:
-    """Send one request and read its reply. Raises ``OSError`` and ``WireError``."""
+def exchange_frame(address: tuple[str, int], fleet_name: str, body: FrameBody) -> OperatorReply:
+    """Send one request and return the reply. Raises ``OSError`` and ``WireError``."""
     reader = FrameReader()
-    with socket.create_connection(place, REPLY_TIMEOUT_S) as stream:
+    with socket.create_connection(address, REPLY_TIMEOUT_S) as stream:
         stream.settimeout(REPLY_TIMEOUT_S)
         stream.sendall(encode(Frame(WIRE_VERSION, fleet_name, "", 0, body)))
         while data := stream.recv(65536):
@@ -146,4 +153,4 @@
                 if isinstance(reply, OperatorReply):
                     return reply
                 raise WireError(DropReason.UNREADABLE)
-    raise WireError("it closed the connection; is it of this fleet?")
+    raise WireError("connection closed without a reply; does the forwarder belong to this fleet?")
--- a/honeybarrow/cli/lab.py
+++ b/honeybarrow/cli/lab.py
@@ -1,4 +1,4 @@
-"""``honeybarrow lab``: whole days in simulated time, the search for bad ones, the history of a message."""
+"""``honeybarrow lab``: simulated runs of scenarios, the search for failing ones and message histories."""
 
 from __future__ import annotations
 
@@ -20,18 +20,21 @@
 
 
 def draw_plot(entries: Sequence[EventLogEntry], scenario: Scenario, path: Path) -> None:
-    """Draw the day into a file; print an error if it can't be drawn."""
+    """Write a plot of a run to a file, or print an error if that fails."""
     try:
         plot(entries, scenario, path)
     except PlotError as error:
         click.echo(f"honeybarrow: {path}: {format_error(error)}", err=True)
 
 
-def read_day(file: Path | None, seed: int | None) -> laboratory.SimulationConfig:
-    """The day of a scenario by file or name, by its own seed or another; an exit if it can't be read."""
+def read_simulation_config(file: Path | None, seed: int | None) -> laboratory.SimulationConfig:
+    """Return the simulation of a scenario given by file or name. Exits if it can't be read.
+
+    ``seed`` replaces the seed of the scenario.
+    """
     _, scenario, forwarders = find_scenario(file)
-    day = laboratory.SimulationConfig(scenario, tuple(forwarders))
-    return day if seed is None else day.with_seed(seed)
+    simulation = laboratory.SimulationConfig(scenario, tuple(forwarders))
+    return simulation if seed is None else simulation.with_seed(seed)
 
 
 scenario_argument = click.argument("file", type=click.Path(path_type=Path), required=False)
@@ -40,75 +43,85 @@
 
 @click.group("lab")
 def lab() -> None:
-    """Whole days in simulated time: the program unchanged, on a simulated clock and network."""
+    """Run scenarios in simulated time: the unchanged program on a simulated clock and network."""
 
 
 @lab.command()
 @scenario_argument
 @seed_option
-@click.option("--quiet", is_flag=True, help="The verdict alone.")
-@click.option("--plot", "picture", type=click.Path(path_type=Path), help="Draw the day into this file.")
-def run(file: Path | None, seed: int | None, quiet: bool, picture: Path | None) -> None:
-    """Play a scenario and judge it; exit status 1 if a rule broke."""
-    day = read_day(file, seed)
-    result = laboratory.run_simulation(day, lambda text: None if quiet else click.echo(text, err=True))
-    click.echo(format_report(result.rule_check, day.scenario.name, day.scenario.seed))
+@click.option("--quiet", is_flag=True, help="Print the result only.")
+@click.option("--plot", "plot_file", type=click.Path(path_type=Path), help="Plot the run into this file.")
+def run(file: Path | None, seed: int | None, quiet: bool, plot_file: Path | None) -> None:
+    """Run a scenario and check the rules; exit status 1 if a rule is broken."""
+    simulation = read_simulation_config(file, seed)
+    result = laboratory.run_simulation(simulation, lambda text: None if quiet else click.echo(text, err=True))
+    click.echo(format_report(result.rule_check, simulation.scenario.name, simulation.scenario.seed))
     click.echo(
-        f"\n  worth {result.utility:.4f}; {result.simulated_s:.1f} s simulated in {result.elapsed_s:.1f} s,"
+        f"\n  utility {result.utility:.4f}; {result.simulated_s:.1f} s simulated in {result.elapsed_s:.1f} s,"
         f" {result.event_count} events, trace {result.trace_hash[:16]} of {result.trace_line_count} lines"
     )
-    if picture is not None:
-        draw_plot(result.entries, day.scenario, picture)
+    if plot_file is not None:
+        draw_plot(result.entries, simulation.scenario, plot_file)
     sys.exit(0 if result.rule_check.has_passed else 1)
 
 
 @lab.command()
 @scenario_argument
 @click.option("--days", type=click.IntRange(1, 100_000), default=40, show_default=True)
-@click.option("--first", type=click.IntRange(0), default=1, show_default=True, help="The first day's seed.")
+@click.option("--first", type=click.IntRange(0), default=1, show_default=True, help="Seed of the first day.")
 @click.option("--jobs", type=click.IntRange(1, 256), default=os.cpu_count() or 1, show_default="all cores")
-@click.option("--keep", type=click.Path(path_type=Path), help="Folder for the worst day, cut down.")
+@click.option(
+    "--keep",
+    type=click.Path(path_type=Path),
+    help="Folder for the script of the worst day, reduced to few faults.",
+)
 def search(file: Path | None, days: int, first: int, jobs: int, keep: Path | None) -> None:
-    """Draw random days of a scenario's parts and play them; exit status 1 if one breaks a rule."""
-    day = read_day(file, None)
-    found = fault_search.search_faults(day, range(first, first + days), jobs, print_bad_day)
-    click.echo(f"{days} days of {day.scenario.name}; the worst:")
-    for each in found[:5]:
-        kinds = ", ".join(f"{t.kind} {t.target}".strip() for t in each.faults)
-        state = each.error or (
-            "breaks " + ", ".join(each.violated_rules) if each.violated_rules else "rules held"
+    """Run a scenario with random faults many times; exit status 1 if a run breaks a rule.
+
+    Each run is called a day. Its faults are drawn from its seed.
+    """
+    simulation = read_simulation_config(file, None)
+    outcomes = fault_search.search_faults(simulation, range(first, first + days), jobs, print_failed_run)
+    click.echo(f"{days} days of {simulation.scenario.name}; the worst:")
+    for outcome in outcomes[:5]:
+        faults = ", ".join(f"{fault.kind} {fault.target}".strip() for fault in outcome.faults)
+        verdict = outcome.error or (
+            "breaks " + ", ".join(outcome.violated_rules) if outcome.violated_rules else "rules held"
         )
-        click.echo(f"  seed {each.seed:6} worth {each.utility:.4f}  {state}  [{kinds}]")
-    worst = found[0]
+        click.echo(f"  seed {outcome.seed:6} utility {outcome.utility:.4f}  {verdict}  [{faults}]")
+    worst = outcomes[0]
     if keep is not None:
-        keep_worst_day(day, worst, keep)
+        write_worst_run(simulation, worst, keep)
     sys.exit(1 if worst.violated_rules or worst.error else 0)
 
 
-def print_bad_day(found: fault_search.RunOutcome) -> None:
-    """Print a day that broke a rule or could not be played."""
-    if found.violated_rules or found.error:
+def print_failed_run(outcome: fault_search.RunOutcome) -> None:
+    """Print a run that broke a rule or ended with an error."""
+    if outcome.violated_rules or outcome.error:
         click.echo(
-            f"seed {found.seed}: {found.error or 'breaks ' + ', '.join(found.violated_rules)}", err=True
+            f"seed {outcome.seed}: {outcome.error or 'breaks ' + ', '.join(outcome.violated_rules)}",
+            err=True,
         )
 
 
-def keep_worst_day(day: laboratory.SimulationConfig, worst: fault_search.RunOutcome, folder: Path) -> None:
-    """Write the worst day as a scenario file, cut down to the troubles that make it as bad."""
+def write_worst_run(
+    simulation: laboratory.SimulationConfig, worst: fault_search.RunOutcome, folder: Path
+) -> None:
+    """Write the worst run as a scenario script, reduced to the faults that are needed to reproduce it."""
     folder.mkdir(parents=True, exist_ok=True)
 
     def is_as_bad(candidate: laboratory.SimulationConfig) -> bool:
-        again = fault_search.run_and_check(candidate)
+        outcome = fault_search.run_and_check(candidate)
         if worst.error:
-            return bool(again.error)
+            return bool(outcome.error)
         if worst.violated_rules:
-            return again.violated_rules == worst.violated_rules
-        return again.utility <= worst.utility + (1.0 - worst.utility) / 4
+            return outcome.violated_rules == worst.violated_rules
+        return outcome.utility <= worst.utility + (1.0 - worst.utility) / 4
 
-    small = fault_search.minimize(fault_search.draw_faults(day, worst.seed), is_as_bad)
-    path = folder / f"{day.scenario.name}-{worst.seed}.star"
-    path.write_text(fault_search.format_script(small), encoding="utf-8")
-    click.echo(f"  cut down to {len(small.scenario.faults)} troubles: {path}")
+    minimized = fault_search.minimize(fault_search.draw_faults(simulation, worst.seed), is_as_bad)
+    path = folder / f"{simulation.scenario.name}-{worst.seed}.star"
+    path.write_text(fault_search.format_script(minimized), encoding="utf-8")
+    click.echo(f"  reduced to {len(minimized.scenario.faults)} troubles: {path}")
 
 
 @lab.command()
@@ -116,13 +129,15 @@
 @scenario_argument
 @seed_option
 def explain(message: str, file: Path | None, seed: int | None) -> None:
-    """Play a scenario and tell all that happened to a MESSAGE (its Message-ID)."""
-    day = read_day(file, seed)
+    """Run a scenario and print the history of a MESSAGE, given by its Message-ID."""
+    simulation = read_simulation_config(file, seed)
     result = laboratory.run_simulation(
-        laboratory.SimulationConfig(day.scenario, day.forwarders, day.link, keep_trace=True)
+        laboratory.SimulationConfig(
+            simulation.scenario, simulation.forwarders, simulation.link, keep_trace=True
+        )
     )
     lines = describe_message(result.trace, message)
     if not lines:
-        click.echo(f"honeybarrow: the day has no message {message!r}", err=True)
+        click.echo(f"honeybarrow: the run has no message {message!r}", err=True)
         sys.exit(2)
     click.echo("\n".join(lines))
--- a/honeybarrow/cli/launch.py
+++ b/honeybarrow/cli/launch.py
@@ -1,4 +1,4 @@
-"""Plays a rehearsal with forwarders as processes of their own."""
+"""Rehearsals that run each forwarder in a separate process."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from honeybarrow.rehearsal import EventLog, RuleCheckResult, Scenario, ScenarioRunner, format_report
 from honeybarrow.rehearsal.fault_injection import LinkCondition, LinkRelays
 
-START_TIMEOUT_S = 20.0  # for an interpreter and its libraries, on a busy machine
+START_TIMEOUT_S = 20.0  # enough to start an interpreter on a busy machine
 POLL_INTERVAL_S = 0.1
 STOP_TIMEOUT_S = 40.0
 
@@ -32,14 +32,14 @@
 
 
 class ForwarderChild(ProcessProtocol):
-    """One forwarder process; its output goes to a file."""
+    """A forwarder process whose output is appended to a file."""
 
     def __init__(self, log: Path) -> None:
         self.log = log.open("ab")
         self.ended: Deferred[None] = Deferred()
 
     def childDataReceived(self, childFD: int, data: bytes) -> None:
-        """Append output of the process to its file."""
+        """Append the output of the process to the file."""
         self.log.write(data)
 
     def processEnded(self, reason: Failure) -> None:
@@ -49,7 +49,7 @@
 
 
 class _ConnectProbe(ClientFactory):
-    """Tries once whether a front accepts connections."""
+    """Checks once whether a front accepts connections."""
 
     noisy = False
 
@@ -72,7 +72,7 @@
 
 
 class ForwarderProcesses:
-    """Launches ``honeybarrow run`` for each forwarder of a scenario file."""
+    """The forwarders of a scenario file, each run as a ``honeybarrow run`` process."""
 
     def __init__(
         self, file: Path, folder: Path, forwarders: Sequence[ForwarderConfig] = (), seed: int = 1
@@ -87,7 +87,7 @@
         self.relays.set_link_condition(sender, receiver, condition)
 
     def start(self, settings: ForwarderConfig) -> Deferred[None]:
-        """Start a forwarder; fires once its first front takes connections."""
+        """Start a forwarder; the Deferred fires when its first front accepts connections."""
         name = settings.name
         child = ForwarderChild(self.folder / f"{name}.log")
         arguments = [sys.executable, "-m", "honeybarrow", "run", str(self.file), "--name", name]
@@ -117,45 +117,48 @@
         reactor.connectTCP(listen.host, listen.port, probe, timeout=1)
 
     def kill(self, name: str) -> None:
-        """End a forwarder with SIGKILL."""
+        """Kill a forwarder with SIGKILL."""
         self._signal(name, "KILL")
 
     def delete_saved_state(self, name: str) -> None:
-        """Remove the files that a forwarder's settings name for what it keeps."""
+        """Remove the files in which a forwarder keeps state between starts."""
         settings = self.settings[name]
         for file in (settings.register.saved_list, settings.fleet.saved_verdicts if settings.fleet else ""):
             if file:
                 Path(file).unlink(missing_ok=True)
 
     def pause(self, name: str, duration_us: int) -> None:
-        """Stop a forwarder for so many microseconds."""
+        """Suspend a forwarder for a duration in microseconds."""
         self._signal(name, signal.SIGSTOP)
         reactor.callLater(duration_us / 1e6, self._signal, name, signal.SIGCONT)
 
     def stop_all(self) -> Deferred[None]:
-        """End all forwarders with SIGTERM, after STOP_S seconds with SIGKILL; fires when all have ended."""
+        """Stop all forwarders with SIGTERM, and after ``STOP_TIMEOUT_S`` with SIGKILL.
+
+        The returned Deferred fires when all processes have ended.
+        """
         for name in self.children:
             self._signal(name, "TERM")
-        hurry = reactor.callLater(STOP_TIMEOUT_S, self._kill_all)
+        kill_timer = reactor.callLater(STOP_TIMEOUT_S, self._kill_all)
         all_ended = DeferredList([child.ended for child, _ in self.children.values()])
         done: Deferred[None] = Deferred()
 
-        def ended(_: Any) -> None:
-            if hurry.active():
-                hurry.cancel()
+        def on_all_ended(_: Any) -> None:
+            if kill_timer.active():
+                kill_timer.cancel()
             self.relays.close()
             done.callback(None)
 
-        all_ended.addCallback(ended)
+        all_ended.addCallback(on_all_ended)
         return done
 
     def _kill_all(self) -> None:
         for name in self.children:
             self.kill(name)
 
-    def _signal(self, name: str, which: str | int) -> None:
+    def _signal(self, name: str, signal_to_send: str | int) -> None:
         with contextlib.suppress(ProcessExitedAlready):
-            self.children[name][1].signalProcess(which)
+            self.children[name][1].signalProcess(signal_to_send)
 
 
 def run_rehearsal(
@@ -164,9 +167,12 @@
     forwarders: list[ForwarderConfig],
     report_file: Path | None,
     keep: Path | None,
-    picture: Path | None = None,
+    plot_file: Path | None = None,
 ) -> int:
-    """Play a scenario and print its report; the exit status. ``keep``: a folder for the logs of all sides."""
+    """Run a scenario, print its report and return the exit status.
+
+    ``keep`` is a folder for the logs of the forwarders and of the stand-ins.
+    """
     with contextlib.ExitStack() as stack:
         if keep is not None:
             keep.mkdir(parents=True, exist_ok=True)
@@ -181,8 +187,8 @@
             return 1
         text = format_report(result, scenario.name, scenario.seed)
         click.echo(text)
-        if picture is not None:
-            draw_plot(run.event_log.entries, scenario, picture)
+        if plot_file is not None:
+            draw_plot(run.event_log.entries, scenario, plot_file)
         if report_file is not None:
             report_file.write_text(text + "\n", encoding="utf-8")
         if keep is not None:
@@ -191,7 +197,7 @@
 
 
 class RehearsalRun:
-    """One rehearsal on the reactor of this process, its forwarders as processes of their own."""
+    """A rehearsal on the reactor of this process, with its forwarders in separate processes."""
 
     def __init__(
         self, file: Path, scenario: Scenario, forwarders: list[ForwarderConfig], folder: Path
@@ -205,7 +211,7 @@
         )
 
     def run(self) -> RuleCheckResult | None:
-        """Play to the end; ``None`` if it failed or was interrupted, which has been printed."""
+        """Run the rehearsal and return its result, or ``None`` if it failed or was interrupted."""
         signal.signal(signal.SIGINT, self._interrupt)
         signal.signal(signal.SIGTERM, self._interrupt)
         reactor.callWhenRunning(self._begin)
--- a/honeybarrow/cli/logs.py
+++ b/honeybarrow/cli/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one line an event, JSON or for reading."""
+"""Configuration of the structured log: one line for each event, as JSON or as text."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def configure_logging(as_json: bool, level: str, **fields: Any) -> Any:
-    """A logger on standard error whose lines carry ``fields``, the time, the event and its level."""
+    """Configure logging to standard error and return a logger that adds ``fields`` to each line."""
     renderer: Any = (
         structlog.processors.JSONRenderer()
         if as_json
--- a/honeybarrow/cli/main.py
+++ b/honeybarrow/cli/main.py
@@ -1,5 +1,7 @@
-"""``honeybarrow``: check, run, stand-ins, rehearse. Exit codes: 0 success, 1 a rule was broken or the
-service failed, 2 wrong use or settings, 3 an address can't be listened on, 70 a fault of ours.
+"""The ``honeybarrow`` command and its subcommands.
+
+Exit statuses: 0 success, 1 a broken rule or a failure of the service, 2 invalid usage or settings, 3 a listen
+address that is not available, 70 an internal error.
 """
 
 from __future__ import annotations
@@ -30,7 +32,7 @@
 
 
 def with_log_options(command: Any) -> Any:
-    """Decorate a command with the options of the log."""
+    """Add the log options to a command."""
     for option in reversed(log_options):
         command = option(command)
     return command
@@ -39,30 +41,31 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, prog_name="honeybarrow")
 def main() -> None:
-    """Delivers messages to many partners, by SMTP and LMTP, with one final answer for each."""
+    """Deliver messages to many partners over SMTP and LMTP, with one final result for each."""
 
 
-name_option = click.option("--name", default="", help="The forwarder of this name, where FILE has several.")
+name_option = click.option("--name", default="", help="Name of the forwarder, if FILE defines several.")
 
 
 @main.command()
 @click.argument("file", type=click.Path(path_type=Path))
 @name_option
 def check(file: Path, name: str) -> None:
-    """Check a forwarder's settings FILE and print what they come to."""
+    """Check a forwarder's settings FILE and print a summary."""
     settings = read_forwarder(file, name)
     try:
         validate_settings(settings.policy_settings())
     except InvalidValueError as error:
         fail(InvalidValueError(f"{file}: {error}"))
     click.echo(f"{file}: forwarder {settings.name}, {len(settings.classes)} classes, {settings.slots} slots")
-    for each in settings.classes:
+    for message_class in settings.classes:
         click.echo(
-            f"  class {each.name}: {each.idempotency},"
-            f" aim {each.latency_objective_us / 1e6:g} s, deadline {each.deadline_us / 1e6:g} s"
+            f"  class {message_class.name}: {message_class.idempotency},"
+            f" aim {message_class.latency_objective_us / 1e6:g} s,"
+            f" deadline {message_class.deadline_us / 1e6:g} s"
         )
-    for listen in settings.listeners:
-        click.echo(f"  {listen.protocol} on {listen.host}:{listen.port}")
+    for listener in settings.listeners:
+        click.echo(f"  {listener.protocol} on {listener.host}:{listener.port}")
 
 
 @main.command()
@@ -70,7 +73,7 @@
 @name_option
 @with_log_options
 def run(file: Path, name: str, log_format: str, log_level: str) -> None:
-    """Run a forwarder by its settings FILE until SIGTERM."""
+    """Run a forwarder with the settings in FILE until SIGTERM."""
     settings = read_forwarder(file, name)
     log = configure_logging(log_format == "json", log_level, forwarder=settings.name)
     from honeybarrow.cli.run import ForwarderProcess
@@ -82,7 +85,7 @@
 @click.argument("file", type=click.Path(path_type=Path))
 @with_log_options
 def stand_ins(file: Path, log_format: str, log_level: str) -> None:
-    """Run the partners and the register of a scenario FILE until SIGTERM; its troubles come as it says."""
+    """Run the stand-in partners and register of a scenario FILE, with its troubles, until SIGTERM."""
     scenario, forwarders = read_scenario(file)
     log = configure_logging(log_format == "json", log_level, stand_ins=scenario.name)
     from twisted.internet.error import CannotListenError
@@ -115,46 +118,53 @@
 
 @main.command()
 @click.argument("file", type=click.Path(path_type=Path), required=False)
-@click.option("--list", "listing", is_flag=True, help="Name the scenarios that come with the program.")
-@click.option("--seed", type=int, default=None, help="Another seed than the scenario's.")
+@click.option("--list", "listing", is_flag=True, help="List the scenarios that come with the program.")
+@click.option("--seed", type=int, default=None, help="Seed to use in place of the scenario's.")
 @click.option(
     "--report", type=click.Path(path_type=Path), default=None, help="Write the report to this file."
 )
 @click.option("--keep", type=click.Path(path_type=Path), default=None, help="Keep all logs in this folder.")
-@click.option("--plot", "picture", type=click.Path(path_type=Path), help="Draw the day into this file.")
+@click.option("--plot", "plot_file", type=click.Path(path_type=Path), help="Plot the run into this file.")
 def rehearse(
     file: Path | None,
     listing: bool,
     seed: int | None,
     report: Path | None,
     keep: Path | None,
-    picture: Path | None,
+    plot_file: Path | None,
 ) -> None:
-    """Play a scenario against forwarder processes and judge it; the bad day if no FILE is named."""
-    own = sorted(SCENARIOS.glob("*.star"))
+    """Run a scenario against forwarder processes and check the rules.
+
+    Without FILE, the scenario bad-day is run.
+    """
+    bundled_scenarios = sorted(SCENARIOS.glob("*.star"))
     if listing:
-        for each in own:
-            first = each.read_text(encoding="utf-8").partition("\n")[0].lstrip("# ")
-            click.echo(f"{each.stem:16} {first}")
+        for scenario_path in bundled_scenarios:
+            summary = scenario_path.read_text(encoding="utf-8").partition("\n")[0].lstrip("# ")
+            click.echo(f"{scenario_path.stem:16} {summary}")
         return
     path, scenario, forwarders = find_scenario(file)
     if seed is not None:
         scenario = msgspec.structs.replace(scenario, seed=seed)
     from honeybarrow.cli.launch import run_rehearsal
 
-    sys.exit(run_rehearsal(path, scenario, forwarders, report, keep, picture))
+    sys.exit(run_rehearsal(path, scenario, forwarders, report, keep, plot_file))
 
 
 @main.command()
 @click.argument("recipients", nargs=-1, required=True)
 @click.option("--host", default="127.0.0.1", show_default=True)
 @click.option("--port", default=2525, show_default=True, type=click.IntRange(1, 65535))
-@click.option("--lmtp", is_flag=True, help="Speak LMTP: several recipients in one transaction.")
-@click.option("--sender", default="", help="The envelope's sender; empty for none.")
-@click.option("--file", type=click.File("rb"), default="-", help="The message; standard input if not given.")
+@click.option("--lmtp", is_flag=True, help="Use LMTP, with all recipients in one transaction.")
+@click.option("--sender", default="", help="Envelope sender; empty for none.")
+@click.option(
+    "--file", type=click.File("rb"), default="-", help="Message to send; standard input by default."
+)
 @click.option("--by", "by_s", type=click.IntRange(1, 86_400), default=None, help="Seconds to deliver in.")
-@click.option("--id", "envelope_id", default="", help="The same for the same message submitted again.")
-@click.option("--timeout", default=60.0, show_default=True, help="Seconds to wait for an answer.")
+@click.option(
+    "--id", "envelope_id", default="", help="Envelope id; reuse it to submit the same message again."
+)
+@click.option("--timeout", default=60.0, show_default=True, help="Seconds to wait for a result.")
 def send(
     recipients: tuple[str, ...],
     host: str,
@@ -166,15 +176,15 @@
     envelope_id: str,
     timeout: float,
 ) -> None:
-    """Hand a message in and print the answer for each recipient.
+    """Submit a message and print the result for each recipient.
 
-    Exit status: 0 all delivered, 75 some refused (come back), 69 some failed, 2 wrong use.
+    Exit status: 0 all delivered, 75 some refused (retry later), 69 some failed, 2 invalid usage.
     """
     from honeybarrow.cli.send import submit
 
     content = file.read(MAX_MESSAGE_BYTES + 1)
     if len(content) > MAX_MESSAGE_BYTES:
-        fail(f"the message is longer than {MAX_MESSAGE_BYTES} octets", USAGE_EXIT_STATUS)
+        fail(f"the message is longer than {MAX_MESSAGE_BYTES} bytes", USAGE_EXIT_STATUS)
     try:
         sys.exit(submit(host, port, lmtp, sender, recipients, content, by_s, envelope_id, timeout))
     except ValueError as error:
@@ -186,12 +196,13 @@
 
 @main.command("addresses")
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--settings", "script", type=click.Path(path_type=Path), help="a forwarder's settings")
+@click.option("--settings", "script", type=click.Path(path_type=Path), help="Settings of a forwarder.")
 @name_option
 def print_addresses(file: Path, script: Path | None, name: str) -> None:
-    """Print for a saved list FILE which addresses of each endpoint are tried, in which order, and why.
+    """Print the order in which the addresses of each endpoint in a saved list FILE are tried, and why.
 
-    With --settings also which ones the forwarder would not go to, and the order that its zone gives.
+    With --settings, the order takes the zone of the forwarder into account, and addresses that its settings
+    forbid are marked.
     """
     from honeybarrow.addressing.address_health import AddressHealth
     from honeybarrow.addressing.egress_policy import EgressPolicy
@@ -205,8 +216,8 @@
     except ListError as error:
         fail(error)
     settings = read_forwarder(script, name) if script else None
-    book = AddressHealth(random.Random(1), settings.zone if settings else "")
-    territory = (
+    address_health = AddressHealth(random.Random(1), settings.zone if settings else "")
+    egress_policy = (
         EgressPolicy(
             settings.allowed_networks,
             settings.forbidden_networks,
@@ -216,20 +227,22 @@
         if settings
         else None
     )
-    for target, row in directory.endpoints.items():
-        click.echo(f"{target} ({directory.partners[row.destination].name}, {row.state})")
-        places = [to_address(address) for address in row.addresses]
-        whys = [
-            territory.find_violation(p, row.destination, directory.owned_networks) if territory else ""
-            for p in places
+    for target, entry in directory.endpoints.items():
+        click.echo(f"{target} ({directory.partners[entry.destination].name}, {entry.state})")
+        addresses = [to_address(address) for address in entry.addresses]
+        violations = [
+            egress_policy.find_violation(address, entry.destination, directory.owned_networks)
+            if egress_policy
+            else ""
+            for address in addresses
         ]
-        able = [p for p, why in zip(places, whys, strict=True) if not why]
-        for number, choice in enumerate(book.rank_addresses(0, able), start=1):
+        allowed = [address for address, violation in zip(addresses, violations, strict=True) if not violation]
+        for number, choice in enumerate(address_health.rank_addresses(0, allowed), start=1):
             protocol = "lmtp" if choice.address.is_lmtp else "smtp"
             click.echo(f"  {number}. {choice.address} {protocol}: {choice.reason}")
-        for place, why in zip(places, whys, strict=True):
-            if why:
-                click.echo(f"  -  {place}: not tried, {why}")
+        for address, violation in zip(addresses, violations, strict=True):
+            if violation:
+                click.echo(f"  -  {address}: not tried, {violation}")
 
 
 @main.command("hash-password")
--- a/honeybarrow/cli/run.py
+++ b/honeybarrow/cli/run.py
@@ -1,4 +1,4 @@
-"""``honeybarrow run``: a forwarder's service in this process until SIGTERM."""
+"""``honeybarrow run``: runs the service of a forwarder in this process until SIGTERM."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from typing import Any
 
 from honeybarrow.admission.identity import check_password, parse_accounts
-from honeybarrow.cli.exits import CANNOT_LISTEN, FAULT, fail
+from honeybarrow.cli.exits import CANNOT_LISTEN, INTERNAL_ERROR, fail
 from honeybarrow.clocks import steady_wall_clock_ns
 from honeybarrow.config import schema
 from honeybarrow.errors import USAGE_EXIT_STATUS, HoneybarrowError
 from honeybarrow.gc_tuning import reduce_gc_frequency
 
-CRASH_DELAY_S = 0.1  # the last results are written before the reactor stops
+CRASH_DELAY_S = 0.1  # lets the reactor write the last results
 
 
 class ForwarderProcess:
-    """One forwarder's service on the reactor of this process."""
+    """The service of one forwarder on the reactor of this process."""
 
     def __init__(self, settings: schema.ForwarderConfig, log: Any) -> None:
         from honeybarrow.reactor import get_reactor
@@ -29,9 +29,9 @@
         self.reactor = get_reactor()
         self.log = log
         self.exit_status = 0
-        saved_list = _path(settings.register.saved_list)
-        verdicts = _path(settings.fleet.saved_verdicts) if settings.fleet else None
-        tls, password = read_secrets(settings, self.reactor)
+        saved_list = _optional_path(settings.register.saved_list)
+        verdicts = _optional_path(settings.fleet.saved_verdicts) if settings.fleet else None
+        tls_context, check_account_password = read_secrets(settings, self.reactor)
         self.spans = open_tracer(settings)
         self.service = Service(
             settings,
@@ -44,8 +44,8 @@
             lambda data: write_state_file(saved_list, data, log),
             log,
             self._on_crash,
-            tls,
-            password,
+            tls_context,
+            check_account_password,
             self.spans,
             StateStorage(
                 lambda: read_state_file(verdicts), lambda data: write_state_file(verdicts, data, log)
@@ -53,16 +53,16 @@
         )
 
     def run(self) -> int:
-        """Listen and deliver until SIGTERM or SIGINT; the exit status."""
+        """Listen and deliver until SIGTERM or SIGINT, and return the exit status."""
         from twisted.internet.error import CannotListenError
 
         try:
-            places = self.service.start()
+            addresses = self.service.start()
         except CannotListenError as error:
             fail(str(error), CANNOT_LISTEN)
         except HoneybarrowError as error:
             fail(error)
-        for protocol, host, port in places:
+        for protocol, host, port in addresses:
             self.log.info("listening", protocol=protocol, host=host, port=port)
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda *_: self.reactor.callFromThread(self._stop))
@@ -78,7 +78,7 @@
         self.service.stop().addBoth(lambda _: self._stop_reactor())
 
     def _on_crash(self, error: Exception) -> None:
-        self.exit_status = FAULT
+        self.exit_status = INTERNAL_ERROR
         self.reactor.callLater(CRASH_DELAY_S, self._stop_reactor)
 
     def _stop_reactor(self) -> None:
@@ -86,17 +86,20 @@
             self.reactor.stop()
 
 
-def _path(name: str) -> Path | None:
+def _optional_path(name: str) -> Path | None:
     return Path(name) if name else None
 
 
 def monotonic_us() -> int:
-    """Microseconds of the system's monotonic clock."""
+    """Return the time of the system's monotonic clock in microseconds."""
     return time.monotonic_ns() // 1000
 
 
 def read_secrets(settings: schema.ForwarderConfig, reactor: Any) -> tuple[Any, Any]:
-    """The TLS context and the check of passwords, or an exit that names the file, not what is in it."""
+    """Return the TLS context and the function that checks passwords; each ``None`` if not configured.
+
+    Exits with an error that names the file, without its content, if a file can't be used.
+    """
     if settings.tls is None:
         return None, None
     from twisted.internet.threads import deferToThreadPool
@@ -114,14 +117,14 @@
     except (OSError, ValueError) as error:
         fail(f"{settings.accounts_file}: {error}", USAGE_EXIT_STATUS)
 
-    def password(name: str, given: bytes) -> Any:
-        return deferToThreadPool(reactor, reactor.getThreadPool(), check_password, accounts, name, given)
+    def check_account_password(name: str, password: bytes) -> Any:
+        return deferToThreadPool(reactor, reactor.getThreadPool(), check_password, accounts, name, password)
 
-    return context, password
+    return context, check_account_password
 
 
 def open_tracer(settings: schema.ForwarderConfig) -> Any:
-    """The spans, written by a thread of their own; ``None`` if they are off."""
+    """Return the tracer, whose spans are written by a separate thread, or ``None`` if traces are off."""
     if not settings.observability.spans_file:
         return None
     from opentelemetry.sdk.trace.export import BatchSpanProcessor, ConsoleSpanExporter
@@ -129,7 +132,7 @@
     from honeybarrow.tracing import MessageTracer
 
     try:
-        file = Path(settings.observability.spans_file).open("a", encoding="utf-8")  # noqa: SIM115 - for the whole run
+        file = Path(settings.observability.spans_file).open("a", encoding="utf-8")  # noqa: SIM115 - stays open
     except OSError as error:
         fail(str(error), USAGE_EXIT_STATUS)
         raise AssertionError from None
@@ -140,16 +143,16 @@
 
 
 def message_counts(service: Any) -> dict[str, Any]:
-    """What became of the messages, for the last log line."""
-    values = service.forwarder.counters
+    """Return the counts of messages for the last log line."""
+    counters = service.forwarder.counters
     return {
-        name: getattr(values, name)
+        name: getattr(counters, name)
         for name in ("accepted", "rejected", "delivered", "refused", "failed", "withdrawn", "attempts")
     }
 
 
 def read_state_file(path: Path | None) -> bytes | None:
-    """What the last run kept in a file; ``None`` without a file."""
+    """Return the content of a state file, or ``None`` if there is none."""
     try:
         return path.read_bytes() if path is not None else None
     except OSError:
@@ -157,13 +160,13 @@
 
 
 def write_state_file(path: Path | None, data: bytes, log: Any) -> None:
-    """Write a file for the next start by renaming: the old content or the new one, never a part."""
+    """Replace a state file atomically, so that a reader finds the old content or the new one."""
     if path is None:
         return
     try:
         path.parent.mkdir(parents=True, exist_ok=True)
-        fresh = path.with_name(path.name + ".new")
-        fresh.write_bytes(data)
-        fresh.replace(path)
+        temporary = path.with_name(path.name + ".new")
+        temporary.write_bytes(data)
+        temporary.replace(path)
     except OSError as error:
         log.warning("state_file_write_failed", reason=str(error))
--- a/honeybarrow/cli/scripts.py
+++ b/honeybarrow/cli/scripts.py
@@ -1,4 +1,4 @@
-"""Reading the scripts that commands are given; what is wrong in one ends the command."""
+"""Functions that read the scripts given to commands, and exit with an error for an invalid one."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def read_forwarder(file: Path, name: str) -> schema.ForwarderConfig:
-    """The settings, or an exit with what is wrong in them."""
+    """Return the settings of a forwarder. Exits with an error if they are invalid."""
     try:
         return config.find_one(config.read_script(file, SCENARIO_WORDS), schema.ForwarderConfig, file, name)
     except config.ConfigError as error:
@@ -22,7 +22,7 @@
 
 
 def read_scenario(file: Path) -> tuple[Scenario, list[schema.ForwarderConfig]]:
-    """The scenario and its forwarders, or an exit with what is wrong."""
+    """Return a scenario and its forwarders. Exits with an error if the script is invalid."""
     try:
         records = config.read_script(file, SCENARIO_WORDS)
         return config.find_one(records, Scenario, file), config.find_all(records, schema.ForwarderConfig)
@@ -31,7 +31,10 @@
 
 
 def find_scenario(file: Path | None) -> tuple[Path, Scenario, list[schema.ForwarderConfig]]:
-    """A scenario by its file or as one of our own by name; the bad day if none is named."""
+    """Return the path, the scenario and its forwarders.
+
+    ``file`` is a path or the name of a bundled scenario; ``None`` selects the scenario bad-day.
+    """
     path = file if file is not None else SCENARIOS / "bad-day.star"
     if file is not None and not file.exists() and (SCENARIOS / f"{file}.star").exists():
         path = SCENARIOS / f"{file}.star"
--- a/honeybarrow/cli/soak.py
+++ b/honeybarrow/cli/soak.py
@@ -1,4 +1,4 @@
-"""``honeybarrow soak``: real forwarder processes on loopback under random, overlapping faults, judged."""
+"""``honeybarrow soak``: checks real forwarder processes on loopback under random, overlapping faults."""
 
 from __future__ import annotations
 
@@ -18,23 +18,35 @@
 from honeybarrow.soak.run import SoakResult, play
 from honeybarrow.soak.shrink import shrink_faults
 
-MAX_STORIES = 3  # told of one run
+MAX_PRINTED_VIOLATIONS = 3  # of one run
 MAX_FORWARDERS = 64
 
 
 @click.command("soak")
-@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Of the first run.")
-@click.option("--seeds", type=click.IntRange(1), default=1, show_default=True, help="How many runs.")
+@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Seed of the first run.")
+@click.option("--seeds", type=click.IntRange(1), default=1, show_default=True, help="Number of runs.")
 @click.option("--forwarders", type=click.IntRange(1, MAX_FORWARDERS), default=24, show_default=True)
-@click.option("--load", type=click.FloatRange(1.0, 600.0), default=20.0, show_default=True, help="Seconds.")
-@click.option("--rate", type=click.FloatRange(0.1, 200.0), default=6.0, show_default=True, help="Each.")
+@click.option(
+    "--load",
+    type=click.FloatRange(1.0, 600.0),
+    default=20.0,
+    show_default=True,
+    help="Duration of the load in seconds.",
+)
+@click.option(
+    "--rate",
+    type=click.FloatRange(0.1, 200.0),
+    default=6.0,
+    show_default=True,
+    help="Messages per second to each forwarder.",
+)
 @click.option("--faults", type=click.IntRange(0), default=60, show_default=True)
 @click.option("--kind", "kinds", type=click.Choice([k.value for k in FaultKind]), multiple=True)
 @click.option(
-    "--source", type=click.Path(path_type=Path, exists=True), help="Play this checkout's forwarder."
+    "--source", type=click.Path(path_type=Path, exists=True), help="Run the forwarder of this checkout."
 )
 @click.option("--keep", type=click.Path(path_type=Path), help="Keep folders and logs here.")
-@click.option("--shrink", is_flag=True, help="Cut the faults of the first failing run down.")
+@click.option("--shrink", is_flag=True, help="Reduce the faults of the first failing run.")
 def soak(
     seed: int,
     seeds: int,
@@ -47,36 +59,36 @@
     keep: Path | None,
     shrink: bool,
 ) -> None:
-    """Play seeded runs of real processes under faults; exit status 1 if a rule broke.
+    """Run real processes under faults; exit status 1 if a rule is broken.
 
-    A run is drawn from its seed, but real processes do not run the same way twice.
+    The seed determines the faults and the load, but the timing of real processes differs between runs.
     """
     folder = Path(tempfile.mkdtemp(prefix="honeybarrow-soak-"))
     library = _build_library(folder)
     chosen = tuple(FaultKind(kind) for kind in kinds) or tuple(FaultKind)
     first = SoakSpec(seed, forwarders, load_s=load, rate_per_s=rate, faults=faults, kinds=chosen)
-    broken: Counter[str] = Counter()
+    violations: Counter[str] = Counter()
     for number in range(seed, seed + seeds):
         spec = replace(first, seed=number)
-        own = folder / f"seed-{number}"
-        result = play(spec, own, library, source=source)
+        run_folder = folder / f"seed-{number}"
+        result = play(spec, run_folder, library, source=source)
         _print_result(result, spec)
-        broken.update({violation.rule.value for violation in result.violations})
+        violations.update({violation.rule.value for violation in result.violations})
         if keep is not None:
-            shutil.copytree(own, keep / own.name, dirs_exist_ok=True)
+            shutil.copytree(run_folder, keep / run_folder.name, dirs_exist_ok=True)
         if not result.has_passed and shrink:
             _print_shrunk(result, spec, folder, library, source)
             break
-    click.echo(f"runs {seeds}, with a rule broken by rule: {dict(broken) or 'none'}")
+    click.echo(f"{seeds} runs; violations by rule: {dict(violations) or 'none'}")
     shutil.rmtree(folder, ignore_errors=True)
-    sys.exit(1 if broken else 0)
+    sys.exit(1 if violations else 0)
 
 
 def _build_library(folder: Path) -> Path | None:
     try:
         return build_shim(folder)
     except NoCompilerError as error:
-        click.echo(f"skipped: faults of clocks, system calls and folders: {error}", err=True)
+        click.echo(f"skipped faults of clocks, system calls and folders: {error}", err=True)
         return None
 
 
@@ -84,16 +96,18 @@
     counts = " ".join(f"{name}={count}" for name, count in result.counts.items())
     rules = Counter(violation.rule.value for violation in result.violations)
     verdict = "rules kept" if result.has_passed else f"BROKEN {dict(rules)}"
-    click.echo(f"seed {result.seed}: {verdict}; {counts}; own lateness {result.max_lateness_s:.3f} s")
-    for violation in result.violations[:MAX_STORIES]:
-        _print_story(result, violation)
+    click.echo(f"seed {result.seed}: {verdict}; {counts}; harness lateness {result.max_lateness_s:.3f} s")
+    for violation in result.violations[:MAX_PRINTED_VIOLATIONS]:
+        _print_violation(result, violation)
     if not result.has_passed:
         options = f"--forwarders {spec.forwarders} --load {spec.load_s:g} --rate {spec.rate_per_s:g}"
         kinds = "" if spec.kinds == tuple(FaultKind) else "".join(f" --kind {kind}" for kind in spec.kinds)
-        click.echo(f"  again: honeybarrow soak --seed {spec.seed} {options} --faults {spec.faults}{kinds}")
+        click.echo(
+            f"  to repeat: honeybarrow soak --seed {spec.seed} {options} --faults {spec.faults}{kinds}"
+        )
 
 
-def _print_story(result: SoakResult, violation: SoakViolation) -> None:
+def _print_violation(result: SoakResult, violation: SoakViolation) -> None:
     click.echo(f"  {violation.rule}: {violation.forwarder} {violation.message} {violation.text}")
     for line in result.history.story(violation.message, violation.forwarder):
         click.echo(f"    {line}")
@@ -102,15 +116,18 @@
 def _print_shrunk(
     result: SoakResult, spec: SoakSpec, folder: Path, library: Path | None, source: Path | None
 ) -> None:
-    rule, plays = result.violations[0].rule, 0
+    rule, run_count = result.violations[0].rule, 0
 
     def play_faults(faults: Sequence[Fault]) -> frozenset[SoakRule]:
-        nonlocal plays
-        plays += 1
-        again = play(spec, folder / f"shrink-{plays}", library, faults, source)
-        return frozenset(violation.rule for violation in again.violations)
-
-    left = shrink_faults(result.faults, rule, play_faults)
-    click.echo(f"  {rule} still breaks with {len(left)} of {len(result.faults)} faults, after {plays} plays:")
-    for fault in left:
+        nonlocal run_count
+        run_count += 1
+        shrunk_result = play(spec, folder / f"shrink-{run_count}", library, faults, source)
+        return frozenset(violation.rule for violation in shrunk_result.violations)
+
+    remaining = shrink_faults(result.faults, rule, play_faults)
+    click.echo(
+        f"  {rule} is still broken with {len(remaining)} of {len(result.faults)} faults,"
+        f" after {run_count} runs:"
+    )
+    for fault in remaining:
         click.echo(f"    {fault.format()}")
