--- a/honeybarrow/__init__.py
+++ b/honeybarrow/__init__.py
@@ -1,4 +1,8 @@
-"""honeybarrow: the decisions of a sender that delivers calls to many outside destinations."""
+"""A delivery service with one final result for each message.
+
+This package exports the policy module that decides how messages are sent to many destinations, with its
+settings, events and actions.
+"""
 
 from honeybarrow.actions import (
     Action,
--- a/honeybarrow/__main__.py
+++ b/honeybarrow/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m honeybarrow``."""
+"""Entry point of ``python -m honeybarrow``."""
 
 from honeybarrow.cli import main
 
--- a/honeybarrow/endpoint_addresses.py
+++ b/honeybarrow/endpoint_addresses.py
@@ -1,4 +1,4 @@
-"""Which addresses of an endpoint may be called: those listed for it, less what the egress policy forbids."""
+"""The addresses that may be called for each endpoint: the listed ones that the egress policy allows."""
 
 from __future__ import annotations
 
@@ -12,46 +12,45 @@
 
 
 class EndpointAddresses:
-    """Looks up endpoints' addresses in the present list, and caches them until the list changes.
-
-    The cache is bounded by the list: one entry for each listed endpoint, one note for each forbidden address.
-    """
+    """Looks up the addresses of endpoints in the current list and caches them until the list changes."""
 
     def __init__(
         self, directory: PartnerDirectory, policy: EgressPolicy, health: AddressHealth, log: Logger
     ) -> None:
         self.directory, self.policy, self.health, self.log = directory, policy, health, log
-        self._allowed: dict[str, list[Address]] = {}  # by endpoint, since the last change of the list
-        self._logged: dict[tuple[str, str], None] = {}  # forbidden addresses that have their log line
+        self._allowed: dict[str, list[Address]] = {}  # by endpoint
+        self._logged: dict[tuple[str, str], None] = {}  # endpoint and forbidden address
 
     def find(self, target: str) -> list[Address]:
-        """The addresses of an endpoint that may be called; empty if it is not listed."""
-        if (known := self._allowed.get(target)) is not None:
-            return known
-        found: list[Address] = []
+        """Return the addresses of an endpoint that may be called; none if it is not listed.
+
+        A forbidden address is logged once.
+        """
+        if (cached := self._allowed.get(target)) is not None:
+            return cached
+        allowed: list[Address] = []
         entry = self.directory.endpoints.get(target)
         if entry is None:
-            return found
+            return allowed
         for address in map(to_address, entry.addresses):
             reason = self.policy.find_violation(address, entry.destination, self.directory.owned_networks)
             if not reason:
-                found.append(address)
+                allowed.append(address)
             elif (target, str(address)) not in self._logged:
                 self._logged[target, str(address)] = None
                 self.log.warning("address_forbidden", target=target, address=str(address), reason=reason)
-        self._allowed[target] = found
-        return found
+        self._allowed[target] = allowed
+        return allowed
 
     def refresh(self, in_use: Iterable[str]) -> Iterator[tuple[str, list[Address]]]:
-        """The list has changed: look up again what was looked up before and what is ``in_use``.
+        """Look up again, after a change of the list, the cached endpoints and those ``in_use``.
 
-        Yields each endpoint with its addresses now. The health of an address that is no longer an endpoint's
-        is forgotten before that endpoint is yielded.
+        Yields each endpoint with its current addresses, after discarding the health of removed addresses.
         """
         before, self._allowed = self._allowed, {}
         for target in dict.fromkeys([*before, *in_use]):
             addresses = self.find(target)
-            current = {each.socket_key: None for each in addresses}
+            current = {address.socket_key: None for address in addresses}
             for address in before.get(target, ()):
                 if address.socket_key not in current:
                     self.health.forget(address)
--- a/honeybarrow/metrics.py
+++ b/honeybarrow/metrics.py
@@ -1,7 +1,8 @@
-"""Counts and durations of what happens to messages, in the exposition format of Prometheus.
+"""Prometheus metrics about messages, attempts, connections and the fleet.
 
-Off by default. Names of messages never become labels, so the number of series is bounded by classes,
-partners, their addresses and statuses. Names and labels are the users' and stay (``tests/golden/metrics``).
+Metrics are off by default. Message ids are never labels, so the number of series is bounded by the message
+classes, partners, addresses and statuses. The names and labels of metrics are a public interface
+(``tests/golden/metrics``).
 """
 
 from __future__ import annotations
@@ -20,23 +21,23 @@
 
 
 class FleetCollector(Collector):
-    """The counts of a fleet's agent, read at each scrape; bounded by states, zones and reasons."""
+    """Collects the counts of the fleet agent at each scrape."""
 
     def __init__(self, read_counts: Callable[[], FleetMetrics]) -> None:
         self.read_counts = read_counts
 
     def collect(self) -> Iterator[Metric]:
-        """The metric families with their values now."""
+        """Yield the metric families with their current values."""
         counts = self.read_counts()
         members = GaugeMetricFamily(
-            "honeybarrow_fleet_members", "Members by state, as this one knows", labels=["state"]
+            "honeybarrow_fleet_members", "Members by state, as known to this member", labels=["state"]
         )
         for state, count in counts.members_by_state.items():
             members.add_metric([state], count)
         yield members
         zones = GaugeMetricFamily(
             "honeybarrow_fleet_zone",
-            "The status of a zone, for all or for the members of one zone: 1 for the present one",
+            "Status of a zone, for all members or for those of one zone; 1 for the current status",
             labels=["zone", "members_of", "stand"],
         )
         for each in counts.zone_statuses:
@@ -44,7 +45,7 @@
         yield zones
         yield GaugeMetricFamily(
             "honeybarrow_fleet_kept_destinations",
-            "Destinations in use though all their zones are ejected",
+            "Destinations in use although all their zones are ejected",
             value=counts.retained_destinations,
         )
         for name, text, value in (
@@ -60,7 +61,7 @@
 
 
 class _OpenMessage(NamedTuple):
-    """What is known of an accepted message until it is completed."""
+    """The labels and the remaining time of an accepted message, kept until it is completed."""
 
     class_name: str
     partner: str
@@ -68,7 +69,10 @@
 
 
 class Metrics:
-    """The metrics of one forwarder. ``gauges``: help text and reader by name, read at each scrape."""
+    """The metrics of one forwarder, an observer of its messages.
+
+    ``gauges`` maps the name of a gauge to its help text and to the function that is read at each scrape.
+    """
 
     def __init__(self, gauges: dict[str, tuple[str, Callable[[], float]]]) -> None:
         self.registry = CollectorRegistry()
@@ -81,34 +85,37 @@
             "honeybarrow_turned_away", "Messages rejected before they were accepted", ["why"]
         )
         self._result_seconds = histogram(
-            "honeybarrow_answer_seconds", "From accepted to the final result", by_class
+            "honeybarrow_answer_seconds", "Time from acceptance to the final result", by_class
         )
         self._waiting_seconds = histogram(
-            "honeybarrow_waiting_seconds", "Of that, the time without an attempt", by_class
+            "honeybarrow_waiting_seconds",
+            "Time without an attempt in flight, from acceptance to the final result",
+            by_class,
         )
         self._attempt_seconds = histogram(
-            "honeybarrow_attempt_seconds", "Attempts by their status", ["partner", "status"]
+            "honeybarrow_attempt_seconds", "Duration of attempts by status", ["partner", "status"]
         )
         self._out_of_time_total = counter(
-            "honeybarrow_out_of_time", "Completed within 1% of their deadline or past it", by_class
+            "honeybarrow_out_of_time", "Messages completed with 1% of their time left or less", by_class
         )
         self._connects_total = counter(
-            "honeybarrow_address", "Connects to partners' addresses by outcome", ["address", "how"]
+            "honeybarrow_address", "Connection attempts to partners' addresses by outcome", ["address", "how"]
         )
         self._connect_seconds = histogram(
-            "honeybarrow_connect_seconds", "From connect to the reply to EHLO", ["address"]
+            "honeybarrow_connect_seconds", "Time from connecting to the reply to EHLO", ["address"]
         )
         for name, (text, read) in gauges.items():
             Gauge(f"honeybarrow_{name}", text, registry=self.registry).set_function(read)
-        # finding a child by its labels costs more than counting; there are few
+        # The labeled children by name and labels: looking one up in the library costs more than counting.
         self._children: dict[tuple[Any, ...], Any] = {}
         self._open: dict[str, _OpenMessage] = {}
 
     def register_fleet(self, read_counts: Callable[[], FleetMetrics]) -> None:
-        """Serve the counts of a fleet's agent too."""
+        """Add the counts of a fleet agent to the metrics."""
         self.registry.register(FleetCollector(read_counts))
 
     def _child(self, metric: Any, *labels: str) -> Any:
+        """Return the child of a metric with these label values."""
         key = (metric._name, *labels)
         child = self._children.get(key)
         if child is None:
@@ -116,28 +123,28 @@
         return child
 
     def message_accepted(self, message: str, class_name: str, partner: str, left_us: int) -> None:
-        """Count it, and keep its class, partner and time until it is completed."""
+        """Count an accepted message and keep its labels until it is completed."""
         self._open[message] = _OpenMessage(class_name, partner, left_us)
         self._child(self._accepted_total, class_name).inc()
 
     def connect_finished(self, address: str, outcome: str, took_us: int) -> None:
-        """Count the end of a connect to a partner's address; a series for each address that is listed."""
+        """Count a finished connection attempt, and record its duration if one is given."""
         self._child(self._connects_total, address, outcome).inc()
         if took_us:
             self._child(self._connect_seconds, address).observe(took_us / 1e6)
 
     def attempt_started(self, message: str, number: int, target: str) -> None:
-        """Attempts are counted when they finish."""
+        """Do nothing: attempts are counted when they finish."""
 
     def attempt_finished(self, message: str, number: int, status: str, took_us: int, why: str) -> None:
-        """Measure an attempt by its status."""
+        """Record the duration of an attempt by its status."""
         if (accepted := self._open.get(message)) is not None:
             self._child(self._attempt_seconds, accepted.partner, status).observe(took_us / 1e6)
 
     def message_completed(
         self, message: str, answer: str, took_us: int, called_us: int, left_us: int
     ) -> None:
-        """Count the final result, and measure the whole time and the part without a call."""
+        """Count a final result, and record the total time and the time without a call in flight."""
         accepted = self._open.pop(message, None)
         if accepted is None:
             return
@@ -152,5 +159,5 @@
         self._child(self._rejected_total, why).inc()
 
     def render(self) -> bytes:
-        """The metrics in the exposition format (version 0.0.4)."""
+        """Return the metrics in the Prometheus text format (version 0.0.4)."""
         return generate_latest(self.registry)
--- a/honeybarrow/metrics_endpoint.py
+++ b/honeybarrow/metrics_endpoint.py
@@ -10,7 +10,7 @@
 
 
 class MetricsResource(Resource):
-    """Serves the metrics in the exposition format, at every path."""
+    """Serves the metrics in the Prometheus text format at every path."""
 
     def __init__(self, metrics: Metrics) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
@@ -18,6 +18,6 @@
         self.metrics = metrics
 
     def render_GET(self, request: Any) -> bytes:
-        """Answer a GET."""
+        """Return the metrics."""
         request.setHeader(b"Content-Type", b"text/plain; version=0.0.4; charset=utf-8")
         return self.metrics.render()
--- a/honeybarrow/tls.py
+++ b/honeybarrow/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts from PEM files. Keys stay in them; an error names the file, never what is in it."""
+"""TLS contexts from PEM files. Errors name the file and never include its content."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from honeybarrow.errors import HoneybarrowError
 
-CERTIFICATE_MARK = b"-----BEGIN CERTIFICATE-----"
+CERTIFICATE_HEADER = b"-----BEGIN CERTIFICATE-----"
 
 
 class TlsError(HoneybarrowError, ValueError):
@@ -22,15 +22,19 @@
 
 
 def build_server_context(certificate: Path, key: Path, client_ca: Path | None) -> Any:
-    """For STARTTLS: TLS 1.2 at least; client certificates are asked for where ``client_ca`` is given."""
+    """Return a server context for STARTTLS with TLS 1.2 or later.
+
+    Client certificates are requested, but not required, if ``client_ca`` is given. Raises :class:`TlsError`
+    if a file can't be used.
+    """
     chain = _read_certificates(certificate)
     try:
-        private = crypto.load_privatekey(crypto.FILETYPE_PEM, key.read_bytes())
+        private_key = crypto.load_privatekey(crypto.FILETYPE_PEM, key.read_bytes())
     except (OSError, crypto.Error, ValueError, TypeError):
-        raise TlsError(f"{key}: no private key in PEM can be read there") from None
+        raise TlsError(f"{key}: no private key could be read; expected a PEM file") from None
     authorities = _read_certificates(client_ca) if client_ca is not None else []
     options = CertificateOptions(
-        privateKey=private,
+        privateKey=private_key,
         certificate=chain[0],
         extraCertChain=chain[1:],
         verify=bool(authorities),
@@ -47,10 +51,12 @@
 
 def _read_certificates(path: Path) -> list[Any]:
     try:
-        parts = path.read_bytes().split(CERTIFICATE_MARK)[1:]
-        found = [crypto.load_certificate(crypto.FILETYPE_PEM, CERTIFICATE_MARK + part) for part in parts]
+        blocks = path.read_bytes().split(CERTIFICATE_HEADER)[1:]
+        certificates = [
+            crypto.load_certificate(crypto.FILETYPE_PEM, CERTIFICATE_HEADER + block) for block in blocks
+        ]
     except (OSError, crypto.Error, ValueError):
-        found = []
-    if not found:
-        raise TlsError(f"{path}: no certificate in PEM can be read there")
-    return found
+        certificates = []
+    if not certificates:
+        raise TlsError(f"{path}: no certificate could be read; expected a PEM file")
+    return certificates
--- a/honeybarrow/tracing.py
+++ b/honeybarrow/tracing.py
@@ -1,5 +1,6 @@
-"""A trace of a message's way: accepted, waiting, each attempt, its final result. Off by default.
-Spans go out through opentelemetry.
+"""OpenTelemetry traces of messages, from acceptance over waiting and attempts to the final result.
+
+Traces are off by default.
 """
 
 from __future__ import annotations
@@ -14,15 +15,22 @@
 
 
 class _OpenTrace(NamedTuple):
-    """The spans of a message that is not completed: its own, that of its present state, and their context."""
+    """The spans of an open message: its root span, the span of its current state, and the context of both."""
 
     root: Any
-    present: Any
+    current: Any
     context: Any
 
 
 class MessageTracer:
-    """A trace for each message, or for a share of them (0.0 to 1.0). ``wall_ns``: the system's clock."""
+    """An observer that traces messages.
+
+    Args:
+        name: the name of the forwarder, an attribute of all spans.
+        sampled_share: the share of messages that are traced, from 0.0 to 1.0.
+        processor: receives the finished spans.
+        wall_ns: returns the system time in nanoseconds.
+    """
 
     def __init__(
         self, name: str, sampled_share: float, processor: SpanProcessor, wall_ns: Callable[[], int]
@@ -34,7 +42,7 @@
         self._open: dict[str, _OpenTrace] = {}
 
     def message_accepted(self, message: str, class_name: str, partner: str, left_us: int) -> None:
-        """Start the trace of a message, if it is among the share that is traced."""
+        """Start the trace of a message if it is sampled."""
         now = self._wall_ns()
         attributes: dict[str, Any] = {"message": message, "class": class_name, "partner": partner}
         attributes["left_ms"] = left_us // 1000
@@ -46,36 +54,37 @@
         self._open[message] = _OpenTrace(root, waiting, context)
 
     def _switch_span(self, message: str, name: str, attributes: dict[str, Any]) -> None:
+        """End the current span of a message and start the next one."""
         spans = self._open.get(message)
         if spans is not None:
             now = self._wall_ns()
-            spans.present.end(now)
+            spans.current.end(now)
             started = self._tracer.start_span(name, spans.context, attributes=attributes, start_time=now)
-            self._open[message] = spans._replace(present=started)
+            self._open[message] = spans._replace(current=started)
 
     def attempt_started(self, message: str, number: int, target: str) -> None:
         """End the waiting span and start one for the attempt."""
         self._switch_span(message, "attempt", {"attempt": number, "target": target})
 
     def attempt_finished(self, message: str, number: int, status: str, took_us: int, why: str) -> None:
-        """End the attempt's span with its status and wait again."""
+        """End the attempt's span with its status and start a waiting span."""
         spans = self._open.get(message)
         if spans is not None:
-            spans.present.set_attribute("status", status)
+            spans.current.set_attribute("status", status)
             if status != "ok":
-                spans.present.set_status(Status(StatusCode.ERROR, why))
+                spans.current.set_status(Status(StatusCode.ERROR, why))
             self._switch_span(message, "waiting", {})
 
     def message_completed(
         self, message: str, answer: str, took_us: int, called_us: int, left_us: int
     ) -> None:
-        """End the trace with the final result."""
+        """End the trace of a message with its final result."""
         spans = self._open.pop(message, None)
         if spans is None:
             return
         root = spans.root
         now = self._wall_ns()
-        spans.present.end(now)
+        spans.current.end(now)
         root.set_attribute("answer", answer)
         root.set_attribute("waited_ms", max(0, took_us - called_us) // 1000)
         root.set_attribute("left_ms_at_answer", left_us // 1000)
@@ -84,8 +93,8 @@
         root.end(now)
 
     def message_rejected(self, why: str) -> None:
-        """A rejected message has no trace."""
+        """Do nothing: a rejected message has no trace."""
 
     def close(self) -> None:
-        """Write the spans that are not written yet, and end the exporter."""
+        """Export the remaining spans and shut down the exporter."""
         self._provider.shutdown()
