--- a/examples/forwarder.star
+++ b/examples/forwarder.star
@@ -1,9 +1,10 @@
-# A forwarder: SMTP on 127.0.0.1:2525, LMTP on 127.0.0.1:2424. Start the stand-ins first:
+# A forwarder with SMTP on 127.0.0.1:2525 and LMTP on 127.0.0.1:2424. Start the stand-ins first:
 #
 #     honeybarrow stand-ins examples/stand-ins.star
 #     honeybarrow run examples/forwarder.star
 #
-# The local part of a recipient names the class, its domain the partner: card-status@indie-1.example.
+# The local part of a recipient names the message class and its domain the partner, as in
+# card-status@indie-1.example.
 
 classes = [
     message_class("card-status", aim = "4s", deadline = "16s", late_share = 0.4),
--- a/examples/stand-ins.star
+++ b/examples/stand-ins.star
@@ -1,4 +1,4 @@
-# Three stand-in partners and a register for examples/forwarder.star.
+# Three stand-in partners and their register, for examples/forwarder.star.
 
 partners = [
     partner("chain-1.example", number = 1, kind = "station-chains", stations = [
--- a/examples/submit_with_client.py
+++ b/examples/submit_with_client.py
@@ -1,6 +1,6 @@
-"""Submits a batch with the client library and prints the result for each recipient.
+"""Submit a batch with the client library and print the result for each recipient.
 
-Start the pair of examples/forwarder.star first; see docs/operators.md.
+Start the forwarder and the stand-ins of examples/forwarder.star first; see docs/operators.md.
 """
 
 from typing import Any
@@ -15,7 +15,7 @@
 
 
 def print_results(results: list[FinalResult]) -> None:
-    """Print what became of each recipient and end the program."""
+    """Print the result of each recipient and stop the reactor."""
     for recipient, result in zip(RECIPIENTS, results, strict=True):
         match result:
             case Delivered():
--- a/examples/submit_with_smtplib.py
+++ b/examples/submit_with_smtplib.py
@@ -1,6 +1,6 @@
-"""Submits one message with Python's standard library and prints the result.
+"""Submit one message with Python's standard library and print the result.
 
-Start the pair of examples/forwarder.star first; see docs/operators.md.
+Start the forwarder and the stand-ins of examples/forwarder.star first; see docs/operators.md.
 """
 
 import smtplib
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -1,4 +1,4 @@
-"""The client library, and clients that nobody here wrote, against a forwarder on loopback sockets."""
+"""The client library, third-party clients and the send command against a forwarder on loopback sockets."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     return Client(reactor, "127.0.0.1", port, lmtp, "test.example", ClientLimits(**limits))
 
 
-def refusing(reply: str, *extensions: str) -> ScriptedPartner:
+def partner_replying(reply: str, *extensions: str) -> ScriptedPartner:
     def script(wire: BlockingConnection) -> None:
         wire.greet(*extensions)
         while True:
@@ -44,82 +44,91 @@
 
 
 @pytest.mark.parametrize("lmtp", [False, True])
-def test_one_final_result_for_each_message(lmtp: bool) -> None:
+def test_each_message_has_one_final_result(lmtp: bool) -> None:
     with forwarder() as live:
         live.list_partner("good.example", ScriptedPartner(accept_always).port)
-        live.list_partner("no.example", refusing("550 5.7.1 policy").port)
-        live.list_partner("bad.example", refusing("554 5.3.0 broken").port)
-        ours = client(live.ports["lmtp" if lmtp else "smtp"], lmtp, max_connections=3)
-        names = [
+        live.list_partner("no.example", partner_replying("550 5.7.1 policy").port)
+        live.list_partner("bad.example", partner_replying("554 5.3.0 broken").port)
+        submitter = client(live.ports["lmtp" if lmtp else "smtp"], lmtp, max_connections=3)
+        recipients = [
             "note@good.example",
             "pay@no.example",
             "pay@bad.example",
             "what@good.example",
             "note@good.example",
         ]
-        answers = in_reactor(ours.submit_batch, "a@c.example", names, CONTENT)
-        assert [type(answer) for answer in answers] == [Delivered, Failed, Failed, Failed, Delivered]
-        assert [getattr(answer, "is_permanent", None) for answer in answers[1:4]] == [True, False, True]
-        answer = in_reactor(ours.submit, "", "post@bad.example", CONTENT, 1)
-        assert isinstance(answer, Failed) and 0 < answer.retry_within_s < 3
-        many = [in_reactor(ours.submit, "", "note@good.example", CONTENT) for _ in range(20)]
-        assert many == [Delivered()] * 20 and len(ours._open) <= 3
-        in_reactor(ours.close)
-        wait_until(lambda: not ours._open)
-
-
-def test_a_refusal_has_a_retry_wait_and_no_listener_is_a_refusal() -> None:
+        results = in_reactor(submitter.submit_batch, "a@c.example", recipients, CONTENT)
+        assert [type(result) for result in results] == [Delivered, Failed, Failed, Failed, Delivered]
+        assert [getattr(result, "is_permanent", None) for result in results[1:4]] == [True, False, True]
+        result = in_reactor(submitter.submit, "", "post@bad.example", CONTENT, 1)
+        assert isinstance(result, Failed) and 0 < result.retry_within_s < 3
+        repeated = [in_reactor(submitter.submit, "", "note@good.example", CONTENT) for _ in range(20)]
+        assert repeated == [Delivered()] * 20 and len(submitter._open) <= 3
+        in_reactor(submitter.close)
+        wait_until(lambda: not submitter._open)
+
+
+def test_refusal_has_a_retry_delay_and_missing_listener_is_a_refusal() -> None:
     with forwarder("slots = 8, max_open = 1") as live:
         live.list_partner("slow.example", ScriptedPartner(lambda wire: time.sleep(5)).port)
-        ours = client(live.ports["smtp"], max_connections=2)
+        submitter = client(live.ports["smtp"], max_connections=2)
         first: list[Any] = []
-        in_reactor(lambda: ours.submit("", "note@slow.example", CONTENT).addCallback(first.append) and None)
+        in_reactor(
+            lambda: submitter.submit("", "note@slow.example", CONTENT).addCallback(first.append) and None
+        )
         wait_until(lambda: live.service.forwarder.open_count == 1)
-        answer = in_reactor(ours.submit, "", "note@slow.example", CONTENT)
-        assert isinstance(answer, Refused) and answer.retry_after_s > 0
+        result = in_reactor(submitter.submit, "", "note@slow.example", CONTENT)
+        assert isinstance(result, Refused) and result.retry_after_s > 0
         port = live.ports["smtp"]
     wait_until(lambda: bool(first))
     assert isinstance(in_reactor(client(port).submit, "", "note@slow.example", CONTENT), Refused)
 
 
-def test_a_lost_connection_is_no_result_and_submitting_again_gets_it() -> None:
-    go = threading.Event()
-    runs: list[str] = []
+def test_resubmission_after_a_timeout_returns_the_result_of_the_first_submission() -> None:
+    may_reply = threading.Event()
+    received: list[str] = []
 
-    def held(wire: BlockingConnection) -> None:
+    def reply_late(wire: BlockingConnection) -> None:
         wire.greet()
         wire.accept_envelope()
-        runs.append(wire.read_content())
-        go.wait(10)
+        received.append(wire.read_content())
+        may_reply.wait(10)
         wire.write_lines("250 ok")
         wire.read_line()
 
     with forwarder() as live:
-        live.list_partner("p.example", ScriptedPartner(held).port)
-        ours = client(live.ports["smtp"])
-        answer = in_reactor(ours.submit, "", "pay@p.example", CONTENT, None, "once", 0.5)
-        assert answer == Failed("no answer in time", is_result_lost=True)
-        again: list[Any] = []
+        live.list_partner("p.example", ScriptedPartner(reply_late).port)
+        submitter = client(live.ports["smtp"])
+        result = in_reactor(submitter.submit, "", "pay@p.example", CONTENT, None, "once", 0.5)
+        assert result == Failed("no answer in time", is_result_lost=True)
+        resubmitted: list[Any] = []
         in_reactor(
-            lambda: ours.submit("", "pay@p.example", CONTENT, None, "once").addCallback(again.append) and None
+            lambda: (
+                submitter.submit("", "pay@p.example", CONTENT, None, "once").addCallback(resubmitted.append)
+                and None
+            )
         )
         wait_until(lambda: any(event == "duplicate_deferred" for event, _ in live.log.lines))
-        go.set()
-        wait_until(lambda: bool(again))
-        assert again == [Delivered()] and len(runs) == 1
+        may_reply.set()
+        wait_until(lambda: bool(resubmitted))
+        assert resubmitted == [Delivered()] and len(received) == 1
 
 
-def test_invalid_addresses_are_errors_at_once() -> None:
+def test_invalid_address_raises_value_error() -> None:
     with pytest.raises(ValueError, match="is no address"):
         client(1).submit("", "no address\r\nRCPT TO:<x@y>", CONTENT)
 
 
-def test_a_batch_whose_sender_is_refused_has_a_result_for_each() -> None:
+def test_rejected_sender_completes_every_recipient_of_a_batch() -> None:
     session = mail.ClientSession("c", lmtp=True)
     session.receive(b"220 x\r\n250-x\r\n250 PIPELINING\r\n")
     session.send_many(mail.Path("a", "b"), [mail.Path("x", f"y{i}") for i in range(3)], b"x\r\n")
     events = session.receive(b"451 4.3.0 no\r\n503 no\r\n503 no\r\n503 no\r\n503 no\r\n")
-    assert [(e.index, e.is_last, e.reply.code) for e in events if isinstance(e, mail.RecipientAnswered)] == [
+    assert [
+        (event.index, event.is_last, event.reply.code)
+        for event in events
+        if isinstance(event, mail.RecipientAnswered)
+    ] == [
         (0, False, 451),
         (1, False, 451),
         (2, True, 451),
@@ -127,28 +136,34 @@
     assert session.phase is mail.Phase.IDLE
 
 
-def test_a_batch_partly_accepted() -> None:
+def test_partly_accepted_batch_completes_every_recipient() -> None:
     session = mail.ClientSession("c", lmtp=True)
     session.receive(b"220 x\r\n250-x\r\n250 PIPELINING\r\n")
     session.send_many(mail.Path("a", "b"), [mail.Path("x", f"y{i}") for i in range(4)], b"x\r\n")
     events = session.receive(b"250 ok\r\n250 ok\r\n550 5.1.1 no\r\n250 ok\r\n452 4.3.1 no\r\n354 go\r\n")
-    assert [(e.index, e.is_last) for e in events if isinstance(e, mail.RecipientAnswered)] == [
+    assert [
+        (event.index, event.is_last) for event in events if isinstance(event, mail.RecipientAnswered)
+    ] == [
         (1, False),
         (3, False),
     ]
     assert session.is_committed
     events = session.receive(b"250 ok\r\n421 4.3.2 bye\r\n")
-    assert [(e.index, e.is_last, e.reply.code) for e in events if isinstance(e, mail.RecipientAnswered)] == [
+    assert [
+        (event.index, event.is_last, event.reply.code)
+        for event in events
+        if isinstance(event, mail.RecipientAnswered)
+    ] == [
         (0, False, 250),
         (2, True, 421),
     ]
     assert not session.is_open
 
 
-def test_third_party_clients() -> None:
+def test_third_party_clients_submit_over_smtp_and_lmtp() -> None:
     with forwarder() as live:
         live.list_partner("p.example", ScriptedPartner(accept_always).port)
-        live.list_partner("no.example", refusing("550 5.1.1 nobody").port)
+        live.list_partner("no.example", partner_replying("550 5.1.1 nobody").port)
         with smtplib.SMTP("127.0.0.1", live.ports["smtp"]) as smtp:
             assert smtp.sendmail("a@c.example", ["note@p.example"], "Subject: x\r\n\r\n.dot\r\n") == {}
             with pytest.raises(smtplib.SMTPDataError) as caught:
@@ -157,22 +172,22 @@
         with smtplib.LMTP("127.0.0.1", live.ports["lmtp"]) as lmtp:
             assert lmtp.sendmail("a@c.example", ["note@p.example"], "Subject: x\r\n\r\nx\r\n") == {}
 
-        async def hand_in() -> None:
-            sender = aiosmtplib.SMTP(hostname="127.0.0.1", port=live.ports["smtp"], start_tls=False)
-            async with sender:
+        async def submit_with_aiosmtplib() -> None:
+            smtp_client = aiosmtplib.SMTP(hostname="127.0.0.1", port=live.ports["smtp"], start_tls=False)
+            async with smtp_client:
                 for _ in range(3):
-                    errors, text = await sender.sendmail("a@c.example", ["note@p.example"], CONTENT)
+                    errors, text = await smtp_client.sendmail("a@c.example", ["note@p.example"], CONTENT)
                     assert errors == {} and "delivered" in text
                 with pytest.raises(aiosmtplib.SMTPRecipientsRefused):
-                    await sender.sendmail("a@c.example", ["what@p.example"], CONTENT)
+                    await smtp_client.sendmail("a@c.example", ["what@p.example"], CONTENT)
 
-        asyncio.run(hand_in())
+        asyncio.run(submit_with_aiosmtplib())
 
 
-def test_the_command_for_operators(tmp_path: Path) -> None:
+def test_send_command_prints_results_and_exits_with_their_status(tmp_path: Path) -> None:
     with forwarder() as live:
         live.list_partner("p.example", ScriptedPartner(accept_always).port)
-        live.list_partner("bad.example", refusing("554 5.3.0 broken").port)
+        live.list_partner("bad.example", partner_replying("554 5.3.0 broken").port)
         path = tmp_path / "message"
         path.write_bytes(CONTENT.replace(b"\r\n", b"\n"))
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Settings by script: what is wrong is told with file, line and field."""
+"""Settings scripts: valid ones give checked records, errors name the file, the line and the field."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from honeybarrow.settings import Idempotency
 
 ROOT = Path(__file__).parent.parent
-GOOD = """
+VALID_SCRIPT = """
 classes = [message_class("note", aim = "1s", deadline = "8s"),
     message_class("post", aim = "1500ms", deadline = "8s", effect = "keyed", window = "5s")]
 def make(i):
@@ -24,10 +24,10 @@
 """
 
 
-def test_a_script_makes_checked_settings() -> None:
-    records = config.evaluate_script("f.star", GOOD)
+def test_script_evaluates_to_checked_settings() -> None:
+    records = config.evaluate_script("f.star", VALID_SCRIPT)
     found = config.find_all(records, schema.ForwarderConfig)
-    assert [each.name for each in found] == ["f1", "f2"]
+    assert [forwarder.name for forwarder in found] == ["f1", "f2"]
     assert config.find_one(records, schema.ForwarderConfig, Path("f.star"), "f2") is found[1]
     settings = found[0].policy_settings()
     assert (
@@ -38,7 +38,7 @@
         config.find_one(records, schema.ForwarderConfig, Path("f.star"))
 
 
-BAD = [
+INVALID_SCRIPTS = [
     ("\n\nx = message_class('a', aim = '1s')", "f.star:3: message_class: .*missing.*deadline"),
     ("\nx = message_class('a', aim = '1q', deadline = '2s')", "f.star:2: .*field 'aim': '1q' is no duration"),
     ("x = message_class('a', aim = '3s', deadline = '2s')", "f.star:1: .*deadline is under aim"),
@@ -51,19 +51,22 @@
     ("x = (", "f.star:1: Parse error"),
     ("x = y", "f.star:1: Variable `y` not found"),
     ("x = 1 // 0", "f.star:1: "),
-    (GOOD.replace("listen = [front", "slots = 0, listen = [front"), "f.star:6: forwarder: .*field 'slots'"),
-    (GOOD.replace('"post"', '"note"'), "'note' is given twice"),
+    (
+        VALID_SCRIPT.replace("listen = [front", "slots = 0, listen = [front"),
+        "f.star:6: forwarder: .*field 'slots'",
+    ),
+    (VALID_SCRIPT.replace('"post"', '"note"'), "'note' is given twice"),
 ]
 
 
-@pytest.mark.parametrize(("text", "message"), BAD)
-def test_an_error_names_file_line_and_field(text: str, message: str) -> None:
+@pytest.mark.parametrize(("text", "message"), INVALID_SCRIPTS)
+def test_error_names_file_line_and_field(text: str, message: str) -> None:
     with pytest.raises(config.ConfigError, match=message) as caught:
         config.evaluate_script("f.star", text)
     assert "\n" not in str(caught.value)
 
 
-def test_a_scenario_names_only_what_it_has() -> None:
+def test_fault_of_an_unknown_target_is_rejected() -> None:
     text = (
         "p = partner('a.example', number = 1, stations = [station('a', port = 0)])\n"
         "x = rehearsal('r', length = '1s', partners = [p], register = stand_in_register(port = 0),"
@@ -73,33 +76,33 @@
         config.evaluate_script("f.star", text, SCENARIO_WORDS)
 
 
-def test_every_script_that_is_shipped_can_be_read() -> None:
+def test_bundled_scripts_are_valid() -> None:
     scenarios = sorted((ROOT / "honeybarrow/rehearsal/scenarios").glob("*.star"))
     assert len(scenarios) >= 2
     for path in scenarios:
         records = config.read_script(path, SCENARIO_WORDS)
         assert config.find_one(records, Scenario, path).clients
-        for each in config.find_all(records, schema.ForwarderConfig):
-            each.policy_settings()
+        for forwarder in config.find_all(records, schema.ForwarderConfig):
+            forwarder.policy_settings()
     for path in sorted((ROOT / "examples").glob("*.star")):
         config.read_script(path, SCENARIO_WORDS)
 
 
-def test_the_command_prints_errors_and_exits_with_their_status(tmp_path: Path) -> None:
+def test_check_command_prints_errors_and_exits_with_their_status(tmp_path: Path) -> None:
     runner = CliRunner()
-    good, bad = tmp_path / "good.star", tmp_path / "bad.star"
-    good.write_text(GOOD)
-    bad.write_text(GOOD + "x = 1 +\n")
-    result = runner.invoke(main, ["check", str(good), "--name", "f1"])
+    valid, invalid = tmp_path / "good.star", tmp_path / "bad.star"
+    valid.write_text(VALID_SCRIPT)
+    invalid.write_text(VALID_SCRIPT + "x = 1 +\n")
+    result = runner.invoke(main, ["check", str(valid), "--name", "f1"])
     assert result.exit_code == 0 and "class post: keyed" in result.output
-    result = runner.invoke(main, ["check", str(bad)])
-    assert result.exit_code == 2 and f"{bad}:8" in result.output
+    result = runner.invoke(main, ["check", str(invalid)])
+    assert result.exit_code == 2 and f"{invalid}:8" in result.output
     result = runner.invoke(main, ["check", str(tmp_path / "none.star")])
     assert result.exit_code == 2 and "No such file" in result.output
     assert "bad-day" in runner.invoke(main, ["rehearse", "--list"]).output
 
 
-def test_the_command_prints_the_order_of_addresses(tmp_path: Path) -> None:
+def test_addresses_command_prints_the_order_of_addresses(tmp_path: Path) -> None:
     path = tmp_path / "list.json"
     addresses = '[{"host":"127.0.0.1","port":25},{"host":"::1","port":25,"priority":1},{"path":"p.sock"}]'
     path.write_text(
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The files in examples/ and the commands, as a new user would: two processes, a mail client, SIGTERM."""
+"""The files in examples/ and the commands, run as processes."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return subprocess.Popen(command, cwd=ROOT, stderr=subprocess.PIPE, text=True)
 
 
-def wait_for(port: int, process: subprocess.Popen[str]) -> None:
+def wait_until_listening(port: int, process: subprocess.Popen[str]) -> None:
     end = time.monotonic() + 20
     while True:
         try:
@@ -32,8 +32,8 @@
             time.sleep(0.05)
 
 
-def wait_for_list() -> None:
-    """Until the forwarder has asked the register: 451 before, never a 550."""
+def wait_until_listed() -> None:
+    """Wait for the forwarder's first list from the register; until then recipients get 451, never 550."""
     end = time.monotonic() + 20
     with smtplib.SMTP("127.0.0.1", 2525) as client:
         client.ehlo()
@@ -47,13 +47,13 @@
             time.sleep(0.05)
 
 
-def test_the_examples_work_as_they_are() -> None:
+def test_examples_deliver_and_stop_cleanly() -> None:
     stand_ins = start("stand-ins", "examples/stand-ins.star")
     forwarder = start("run", "examples/forwarder.star")
     try:
         for port, process in ((2600, stand_ins), (2525, forwarder), (2424, forwarder)):
-            wait_for(port, process)
-        wait_for_list()
+            wait_until_listening(port, process)
+        wait_until_listed()
         for client in (smtplib.SMTP("127.0.0.1", 2525), smtplib.LMTP("127.0.0.1", 2424)):
             for name in ("settlement-pay@chain-1", "txn-posting@fleet-1", "card-status@indie-1"):
                 assert (
@@ -63,13 +63,13 @@
             assert client.rcpt("card-status@elsewhere.example")[0] == 550
             client.quit()
         forwarder.send_signal(signal.SIGTERM)
-        _, told = forwarder.communicate(timeout=30)
+        _, log = forwarder.communicate(timeout=30)
         assert forwarder.returncode == 0
-        assert '"delivered": 6' in told and '"event": "stopped"' in told
-        # a second one on the same address says so
+        assert '"delivered": 6' in log and '"event": "stopped"' in log
+        # A second process on the same addresses exits and names the address.
         blocked = start("stand-ins", "examples/stand-ins.star")
-        _, told = blocked.communicate(timeout=30)
-        assert blocked.returncode == 3 and "2601" in told
+        _, log = blocked.communicate(timeout=30)
+        assert blocked.returncode == 3 and "2601" in log
     finally:
         for process in (stand_ins, forwarder):
             process.kill()
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("command", ["run", "stand-ins", "rehearse"])
-def test_a_bad_file_ends_with_status_2(command: str, tmp_path: Path) -> None:
+def test_invalid_file_exits_with_status_2(command: str, tmp_path: Path) -> None:
     path = tmp_path / "bad.star"
     path.write_text("x = forwarder(name = 'a')\n")
     done = subprocess.run(
@@ -86,7 +86,7 @@
     assert done.returncode == 2 and f"{path}:1: forwarder: " in done.stderr
 
 
-def test_a_rehearsal_with_a_process_of_its_own_is_checked_and_reported(tmp_path: Path) -> None:
+def test_rehearse_command_writes_report_and_logs(tmp_path: Path) -> None:
     report, keep = tmp_path / "report.txt", tmp_path / "logs"
     command = [sys.executable, "-m", "honeybarrow", "rehearse", "calm"]
     command += ["--seed", "2", "--report", str(report), "--keep", str(keep)]
@@ -96,22 +96,22 @@
     assert {path.name for path in keep.iterdir()} == {"solo.log", "sockets.jsonl"}
 
 
-def test_a_pause_stops_a_process_and_continues_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Twisted has no word for the second signal, and took it for a number."""
+def test_pause_sends_sigstop_and_sigcont(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against passing the name CONT, which Twisted does not know and takes for a number."""
     from honeybarrow.cli import launch
 
-    class Process:
+    class RecordingProcess:
         signals: ClassVar[list[object]] = []
 
-        def signalProcess(self, which: object) -> None:
-            self.signals.append(which)
+        def signalProcess(self, signal_to_send: object) -> None:
+            self.signals.append(signal_to_send)
 
-    class Later:
+    class ImmediateReactor:
         def callLater(self, _: float, action: Any, *args: Any) -> None:
             action(*args)
 
-    monkeypatch.setattr(launch, "reactor", Later())
+    monkeypatch.setattr(launch, "reactor", ImmediateReactor())
     processes = launch.ForwarderProcesses(Path(), Path())
-    processes.children["solo"] = (None, Process())  # type: ignore[assignment]
+    processes.children["solo"] = (None, RecordingProcess())  # type: ignore[assignment]
     processes.pause("solo", 1_000)
-    assert Process.signals == [signal.SIGSTOP, signal.SIGCONT]
+    assert RecordingProcess.signals == [signal.SIGSTOP, signal.SIGCONT]
--- a/tests/test_golden_metrics.py
+++ b/tests/test_golden_metrics.py
@@ -1,8 +1,4 @@
-"""The names and labels of the metrics, held to those that version 0.2.0 served.
-
-``tests/golden/metrics`` was written by the build before the change of names: dashboards and alerts
-name these.
-"""
+"""The names and labels of the metrics stay those of version 0.2.0, which dashboards and alerts use."""
 
 from __future__ import annotations
 
@@ -24,8 +20,8 @@
     return port
 
 
-def served() -> str:
-    """What a service serves once messages were delivered, turned away and out of time."""
+def scrape_service() -> str:
+    """Return the metrics of a service after messages that were delivered, rejected and out of time."""
     port = free_port()
     live = LiveForwarder(f"slots = 8, max_open = 40, observe = observe(metrics_port = {port})")
     try:
@@ -42,8 +38,8 @@
     return text
 
 
-def names(text: str) -> list[str]:
-    """The metrics with their types, and the samples with their labels' names, each once, sorted."""
+def list_names(text: str) -> list[str]:
+    """Return the names of metrics with types, and of samples with label names, sorted and unique."""
     found = set(re.findall(r"^# TYPE (.*)$", text, re.MULTILINE))
     for line in text.splitlines():
         if not line.startswith("#"):
@@ -53,12 +49,12 @@
     return sorted(found)
 
 
-def test_a_service_serves_the_same_names() -> None:
-    assert names(served()) == (GOLDEN / "service.txt").read_text().splitlines()
+def test_service_metrics_keep_their_names() -> None:
+    assert list_names(scrape_service()) == (GOLDEN / "service.txt").read_text().splitlines()
 
 
-def of_a_fleet() -> str:
-    """What is served of a fleet's counts when each has something to count."""
+def render_fleet_metrics() -> str:
+    """Return the metrics of a fleet in which every count has a value."""
     metrics = Metrics({})
     metrics.register_fleet(
         lambda: FleetMetrics(
@@ -74,5 +70,5 @@
     return metrics.render().decode()
 
 
-def test_the_counts_of_a_fleet_have_the_same_names() -> None:
-    assert names(of_a_fleet()) == (GOLDEN / "fleet.txt").read_text().splitlines()
+def test_fleet_metrics_keep_their_names() -> None:
+    assert list_names(render_fleet_metrics()) == (GOLDEN / "fleet.txt").read_text().splitlines()
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Numbers and spans of messages on a whole path: the cause of a late answer shows."""
+"""Metrics and spans of delivered messages, which show the cause of a late result."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from tests.live import BlockingConnection, LiveForwarder, ScriptedPartner, accept_always, in_reactor
 
 
-def once_broken(wire: BlockingConnection) -> None:
+def fail_once(wire: BlockingConnection) -> None:
     wire.greet()
     wire.accept_message("451 4.3.0 broken")
 
 
-def test_metrics_and_spans_of_whole_paths() -> None:
+def test_delivery_after_a_failed_attempt_shows_in_metrics_and_spans() -> None:
     with socket.create_server(("127.0.0.1", 0)) as server:
         port = server.getsockname()[1]
     exporter = InMemorySpanExporter()
@@ -31,7 +31,7 @@
     try:
         core = live.service.forwarder
         in_reactor(lambda: setattr(core.context, "observer", ObserverFanout(core.context.observer, spans)))
-        live.list_partner("p.example", ScriptedPartner(once_broken, accept_always).port)
+        live.list_partner("p.example", ScriptedPartner(fail_once, accept_always).port)
         client = live.client()
         assert live.send(client, "note@p.example").startswith("250")
         with urllib.request.urlopen(f"http://127.0.0.1:{port}/metrics") as reply:
@@ -56,25 +56,25 @@
     assert [span.attributes and span.attributes["status"] for span in attempts] == ["error", "ok"]
     attributes: Any = root.attributes
     assert attributes["answer"] == "delivered" and attributes["partner"] == "p.example"
-    # the wait between the attempts is in the spans, and in the answer's own line
-    answer = next(fields for event, fields in live.log.lines if event == "message_delivered")
+    # The wait between the attempts shows in the spans and in the log line of the result.
+    result = next(fields for event, fields in live.log.lines if event == "message_delivered")
     waits = sum((s.end_time or 0) - (s.start_time or 0) for s in found if s.name == "waiting") // 1000
-    assert abs(waits - (answer["elapsed_us"] - answer["time_in_calls_us"])) < answer["elapsed_us"]
-    assert answer["elapsed_us"] - answer["time_in_calls_us"] > 100_000
+    assert abs(waits - (result["elapsed_us"] - result["time_in_calls_us"])) < result["elapsed_us"]
+    assert result["elapsed_us"] - result["time_in_calls_us"] > 100_000
 
 
-def test_a_sampled_share_of_the_messages_leaves_nothing_open() -> None:
+def test_sampled_traces_leave_no_open_messages() -> None:
     exporter = InMemorySpanExporter()
     spans = MessageTracer("fwd", 0.25, SimpleSpanProcessor(exporter), lambda: 1)
     metrics = Metrics({})
-    both = ObserverFanout(metrics, spans, NullObserver())
+    observer = ObserverFanout(metrics, spans, NullObserver())
     for number in range(400):
         name = f"m{number}"
-        both.message_accepted(name, "note", "p", 1_000_000)
-        both.attempt_started(name, 0, "t")
-        both.attempt_finished(name, 0, "timeout", 10, "late")
-        both.message_completed(name, "refused", 999_000, 10, 1000)
-    both.message_rejected("no room")
+        observer.message_accepted(name, "note", "p", 1_000_000)
+        observer.attempt_started(name, 0, "t")
+        observer.attempt_finished(name, 0, "timeout", 10, "late")
+        observer.message_completed(name, "refused", 999_000, 10, 1000)
+    observer.message_rejected("no room")
     assert spans._open == {} and metrics._open == {}
     roots = [span for span in exporter.get_finished_spans() if span.name == "message"]
     assert 50 < len(roots) < 150
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The example of the README runs as it stands."""
+"""The Python examples of the README run without errors."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 
-def test_the_example_of_the_readme_runs() -> None:
+def test_readme_examples_run() -> None:
     text = (Path(__file__).parent.parent / "README.md").read_text(encoding="utf-8")
     blocks = re.findall(r"```python\n(.*?)```", text, re.DOTALL)
     assert blocks
