--- a/honeybarrow/cli/launch.py
+++ b/honeybarrow/cli/launch.py
@@ -65,6 +65,8 @@
 
 
 class _ClosingProtocol(Protocol):
+    """Closes a connection as soon as it is made."""
+
     transport: Any = None
 
     def connectionMade(self) -> None:
@@ -79,7 +81,7 @@
     ) -> None:
         self.file, self.folder = file, folder
         self.children: dict[str, tuple[ForwarderChild, Any]] = {}
-        self.settings = {each.name: each for each in forwarders}
+        self.settings = {forwarder.name: forwarder for forwarder in forwarders}
         self.relays = LinkRelays(reactor, forwarders, random.Random(f"links/{seed}"))
 
     def set_link_condition(self, sender: str, receiver: str, condition: LinkCondition) -> None:
@@ -101,10 +103,11 @@
     def _probe_until_open(
         self, settings: ForwarderConfig, ready: Deferred[None], deadline_s: float, child: ForwarderChild
     ) -> None:
+        """Probe the first front of a forwarder until it accepts connections or the deadline passes."""
         if child.ended.called or time.monotonic() > deadline_s:
             ready.errback(RuntimeError(f"forwarder {settings.name} did not start; see {child.log.name}"))
             return
-        listen = settings.listeners[0]
+        listener = settings.listeners[0]
         probe = _ConnectProbe()
 
         def on_probe_finished(is_open: bool) -> None:
@@ -114,7 +117,7 @@
                 reactor.callLater(POLL_INTERVAL_S, self._probe_until_open, settings, ready, deadline_s, child)
 
         probe.is_open.addCallback(on_probe_finished)
-        reactor.connectTCP(listen.host, listen.port, probe, timeout=1)
+        reactor.connectTCP(listener.host, listener.port, probe, timeout=1)
 
     def kill(self, name: str) -> None:
         """Kill a forwarder with SIGKILL."""
@@ -222,15 +225,16 @@
         click.echo(f"{time.monotonic() - self._started:6.1f} s  {text}", err=True)
 
     def _begin(self) -> None:
-        self.runner.run().addCallbacks(self._finish, self._failed).addBoth(lambda _: reactor.stop())
+        self.runner.run().addCallbacks(self._finish, self._print_failure).addBoth(lambda _: reactor.stop())
 
     def _finish(self, result: RuleCheckResult) -> None:
         self._result = result
 
-    def _failed(self, failure: Failure) -> None:
+    def _print_failure(self, failure: Failure) -> None:
         click.echo(f"honeybarrow: {failure.getErrorMessage()}", err=True)
 
     def _interrupt(self, *_: Any) -> None:
+        """Kill the forwarders and stop the reactor."""
         for name in self.processes.children:
             self.processes.kill(name)
         reactor.callFromThread(reactor.stop)
--- a/honeybarrow/cli/run.py
+++ b/honeybarrow/cli/run.py
@@ -32,7 +32,7 @@
         saved_list = _optional_path(settings.register.saved_list)
         verdicts = _optional_path(settings.fleet.saved_verdicts) if settings.fleet else None
         tls_context, check_account_password = read_secrets(settings, self.reactor)
-        self.spans = open_tracer(settings)
+        self.tracer = open_tracer(settings)
         self.service = Service(
             settings,
             self.reactor,
@@ -46,7 +46,7 @@
             self._on_crash,
             tls_context,
             check_account_password,
-            self.spans,
+            self.tracer,
             StateStorage(
                 lambda: read_state_file(verdicts), lambda data: write_state_file(verdicts, data, log)
             ),
@@ -64,20 +64,22 @@
             fail(error)
         for protocol, host, port in addresses:
             self.log.info("listening", protocol=protocol, host=host, port=port)
-        for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, lambda *_: self.reactor.callFromThread(self._stop))
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            signal.signal(signal_number, lambda *_: self.reactor.callFromThread(self._stop))
         reduce_gc_frequency()
         self.reactor.run(installSignalHandlers=False)
-        if self.spans is not None:
-            self.spans.close()
+        if self.tracer is not None:
+            self.tracer.close()
         self.log.info("stopped", **message_counts(self.service))
         return self.exit_status
 
     def _stop(self) -> None:
+        """Drain the service, then stop the reactor."""
         self.log.info("drain_started", open=self.service.forwarder.open_count)
         self.service.stop().addBoth(lambda _: self._stop_reactor())
 
     def _on_crash(self, error: Exception) -> None:
+        """Stop the reactor after an internal error."""
         self.exit_status = INTERNAL_ERROR
         self.reactor.callLater(CRASH_DELAY_S, self._stop_reactor)
 
@@ -87,6 +89,7 @@
 
 
 def _optional_path(name: str) -> Path | None:
+    """Return the path of a file, or ``None`` for an empty name."""
     return Path(name) if name else None
 
 
@@ -106,9 +109,9 @@
 
     from honeybarrow.tls import TlsError, build_server_context
 
-    ca = Path(settings.tls.client_ca) if settings.tls.client_ca else None
+    client_ca = Path(settings.tls.client_ca) if settings.tls.client_ca else None
     try:
-        context = build_server_context(Path(settings.tls.certificate), Path(settings.tls.key), ca)
+        context = build_server_context(Path(settings.tls.certificate), Path(settings.tls.key), client_ca)
         if not settings.accounts_file:
             return context, None
         accounts = parse_accounts(Path(settings.accounts_file).read_text(encoding="utf-8"))
@@ -152,7 +155,7 @@
 
 
 def read_state_file(path: Path | None) -> bytes | None:
-    """Return the content of a state file, or ``None`` if there is none."""
+    """Return the content of a state file, or ``None`` if it is missing or unreadable."""
     try:
         return path.read_bytes() if path is not None else None
     except OSError:
--- a/honeybarrow/cli/scripts.py
+++ b/honeybarrow/cli/scripts.py
@@ -31,7 +31,7 @@
 
 
 def find_scenario(file: Path | None) -> tuple[Path, Scenario, list[schema.ForwarderConfig]]:
-    """Return the path, the scenario and its forwarders.
+    """Return the path of a scenario, the scenario and its forwarders. Exits with an error if it is invalid.
 
     ``file`` is a path or the name of a bundled scenario; ``None`` selects the scenario bad-day.
     """
@@ -40,5 +40,5 @@
         path = SCENARIOS / f"{file}.star"
     scenario, forwarders = read_scenario(path)
     if not forwarders or not scenario.clients:
-        fail(f"{path}: a rehearsal needs forwarders and clients", USAGE_EXIT_STATUS)
+        fail(f"{path}: the scenario needs at least one forwarder and one client", USAGE_EXIT_STATUS)
     return path, scenario, forwarders
--- a/honeybarrow/cli/soak.py
+++ b/honeybarrow/cli/soak.py
@@ -1,4 +1,4 @@
-"""``honeybarrow soak``: checks real forwarder processes on loopback under random, overlapping faults."""
+"""``honeybarrow soak``: runs forwarder processes on loopback under random faults and checks the rules."""
 
 from __future__ import annotations
 
@@ -64,12 +64,12 @@
     The seed determines the faults and the load, but the timing of real processes differs between runs.
     """
     folder = Path(tempfile.mkdtemp(prefix="honeybarrow-soak-"))
-    library = _build_library(folder)
-    chosen = tuple(FaultKind(kind) for kind in kinds) or tuple(FaultKind)
-    first = SoakSpec(seed, forwarders, load_s=load, rate_per_s=rate, faults=faults, kinds=chosen)
+    library = _build_fault_shim(folder)
+    fault_kinds = tuple(FaultKind(kind) for kind in kinds) or tuple(FaultKind)
+    first_spec = SoakSpec(seed, forwarders, load_s=load, rate_per_s=rate, faults=faults, kinds=fault_kinds)
     violations: Counter[str] = Counter()
     for number in range(seed, seed + seeds):
-        spec = replace(first, seed=number)
+        spec = replace(first_spec, seed=number)
         run_folder = folder / f"seed-{number}"
         result = play(spec, run_folder, library, source=source)
         _print_result(result, spec)
@@ -77,14 +77,15 @@
         if keep is not None:
             shutil.copytree(run_folder, keep / run_folder.name, dirs_exist_ok=True)
         if not result.has_passed and shrink:
-            _print_shrunk(result, spec, folder, library, source)
+            _print_shrunk_faults(result, spec, folder, library, source)
             break
     click.echo(f"{seeds} runs; violations by rule: {dict(violations) or 'none'}")
     shutil.rmtree(folder, ignore_errors=True)
     sys.exit(1 if violations else 0)
 
 
-def _build_library(folder: Path) -> Path | None:
+def _build_fault_shim(folder: Path) -> Path | None:
+    """Return the path of the fault shim, or ``None`` if it can't be compiled."""
     try:
         return build_shim(folder)
     except NoCompilerError as error:
@@ -93,6 +94,7 @@
 
 
 def _print_result(result: SoakResult, spec: SoakSpec) -> None:
+    """Print the counts of a run, its first violations and the command that repeats it."""
     counts = " ".join(f"{name}={count}" for name, count in result.counts.items())
     rules = Counter(violation.rule.value for violation in result.violations)
     verdict = "rules kept" if result.has_passed else f"BROKEN {dict(rules)}"
@@ -108,14 +110,16 @@
 
 
 def _print_violation(result: SoakResult, violation: SoakViolation) -> None:
+    """Print a violation and the events that concern its message."""
     click.echo(f"  {violation.rule}: {violation.forwarder} {violation.message} {violation.text}")
     for line in result.history.story(violation.message, violation.forwarder):
         click.echo(f"    {line}")
 
 
-def _print_shrunk(
+def _print_shrunk_faults(
     result: SoakResult, spec: SoakSpec, folder: Path, library: Path | None, source: Path | None
 ) -> None:
+    """Print the fewest faults found that still break the first violated rule."""
     rule, run_count = result.violations[0].rule, 0
 
     def play_faults(faults: Sequence[Fault]) -> frozenset[SoakRule]:
--- a/honeybarrow/client.py
+++ b/honeybarrow/client.py
@@ -65,7 +65,7 @@
 FinalResult = Delivered | Refused | Failed
 
 
-def result_of_reply(reply: mail.Reply, is_final: bool = True) -> FinalResult:
+def result_from_reply(reply: mail.Reply, is_final: bool = True) -> FinalResult:
     """Return the result that a reply of the service stands for (``docs/mail.md``).
 
     ``is_final`` is whether the reply answers the end of the message data.
@@ -131,27 +131,30 @@
                 case mail.ResetDone():
                     self.client.on_connection_idle(self)
                 case mail.SessionRefused(reply):
-                    self._end_transaction(result_of_reply(reply, is_final=False))
+                    self._end_transaction(result_from_reply(reply, is_final=False))
                 case mail.ServerClosing() | mail.ProtocolBroken():
                     self.transport.abortConnection()
         self.flush()
 
     def _on_reply(self, reply: mail.Reply, phase: mail.Phase, index: int, is_last: bool) -> None:
+        """Complete one recipient, and with the last reply the transaction."""
         transaction = self.transaction
         if transaction is None:
             return
-        transaction.complete(index, result_of_reply(reply, phase is mail.Phase.FINAL))
+        transaction.complete(index, result_from_reply(reply, phase is mail.Phase.FINAL))
         if is_last:
             self._end_transaction(Failed("no reply for this recipient"))
             if self.session.phase is mail.Phase.IDLE:
                 self.client.on_connection_idle(self)
 
     def _end_transaction(self, remaining_result: FinalResult) -> None:
+        """Detach the transaction and complete its remaining recipients with a result."""
         transaction, self.transaction = self.transaction, None
         if transaction is not None:
             transaction.complete_all(remaining_result)
 
     def start_transaction(self, transaction: _Transaction) -> None:
+        """Send a transaction."""
         self.transaction = transaction
         transaction.attempts += 1
         self.session.send_many(
@@ -164,6 +167,7 @@
         self.flush()
 
     def flush(self) -> None:
+        """Write the output of the session to the transport."""
         if (output := self.session.take_output()) and self.transport is not None:
             self.transport.write(output)
 
@@ -172,6 +176,8 @@
 
 
 class _Factory(ClientFactory):
+    """Creates the protocol of one connection and reports a failed connect to the client."""
+
     noisy = False
 
     def __init__(self, connection: _Connection) -> None:
@@ -204,10 +210,10 @@
     lmtp: bool = False
     name: str = "client.invalid"
     limits: ClientLimits = field(default_factory=ClientLimits)
-    _open: list[_Connection] = field(default_factory=list)
-    _idle: list[_Connection] = field(default_factory=list)
+    _connections: list[_Connection] = field(default_factory=list)
+    _idle_connections: list[_Connection] = field(default_factory=list)
     _queue: deque[_Transaction] = field(default_factory=deque)
-    _closing: bool = False
+    _is_closing: bool = False
 
     def submit(
         self,
@@ -253,9 +259,9 @@
 
     def close(self) -> None:
         """Close idle connections; the others close once their transactions have results."""
-        self._closing = True
-        for connection in list(self._idle):
-            self._idle.remove(connection)
+        self._is_closing = True
+        for connection in list(self._idle_connections):
+            self._idle_connections.remove(connection)
             connection.session.quit()
             connection.flush()
             connection.transport.loseConnection()
@@ -275,9 +281,9 @@
         transaction = _Transaction(
             mail.read_address(sender), paths, content, by_s, envelope_id, results, timeout
         )
-        if len(self._queue) >= self.limits.max_waiting or self._closing:
+        if len(self._queue) >= self.limits.max_waiting or self._is_closing:
             transaction.complete_all(
-                Refused(0.0, "closing" if self._closing else "too many messages are waiting")
+                Refused(0.0, "closing" if self._is_closing else "too many messages are waiting")
             )
             return results
         transaction.timer = self.reactor.callLater(timeout, self._on_result_timeout, transaction)
@@ -286,55 +292,57 @@
         return results
 
     def _assign_transactions(self) -> None:
-        while self._queue and self._idle:
-            connection = self._idle.pop()
+        """Start queued transactions on idle connections, and open connections for the others."""
+        while self._queue and self._idle_connections:
+            connection = self._idle_connections.pop()
             transaction = self._queue.popleft()
             if transaction.is_completed:
-                self._idle.append(connection)
+                self._idle_connections.append(connection)
                 continue
             connection.start_transaction(transaction)
-        starting = sum(not connection.is_ready for connection in self._open)
-        if len(self._queue) > starting and len(self._open) < self.limits.max_connections:
+        connecting_count = sum(not connection.is_ready for connection in self._connections)
+        if len(self._queue) > connecting_count and len(self._connections) < self.limits.max_connections:
             connection = _Connection(self)
-            self._open.append(connection)
+            self._connections.append(connection)
             timeout = self.limits.connect_timeout_s
             self.reactor.connectTCP(self.host, self.port, _Factory(connection), timeout=timeout)
             self._assign_transactions()
 
     def on_connection_idle(self, connection: _Connection) -> None:
         """Use a connection that is ready for the next transaction."""
-        if connection not in self._idle:
-            self._idle.append(connection)
+        if connection not in self._idle_connections:
+            self._idle_connections.append(connection)
         self._assign_transactions()
-        if self._closing and connection in self._idle:
+        if self._is_closing and connection in self._idle_connections:
             self.close()
 
     def on_connection_lost(self, connection: _Connection, reason: str) -> None:
         """Complete the transaction of a closed connection: its result is lost, or it was never submitted."""
-        if connection in self._open:
-            self._open.remove(connection)
-        if connection in self._idle:
-            self._idle.remove(connection)
+        if connection in self._connections:
+            self._connections.remove(connection)
+        if connection in self._idle_connections:
+            self._idle_connections.remove(connection)
         transaction, connection.transaction = connection.transaction, None
         if transaction is not None:
             is_committed = connection.session.is_committed
             transaction.complete_all(
                 Failed(reason, is_result_lost=True) if is_committed else Refused(0.0, reason)
             )
-        elif not connection.is_ready and self._queue and not self._open:
+        elif not connection.is_ready and self._queue and not self._connections:
             # The front can't be reached: waiting messages are refused without waiting for their timeouts.
             while self._queue:
                 self._queue.popleft().complete_all(Refused(0.0, reason))
         self._assign_transactions()
 
     def _on_result_timeout(self, transaction: _Transaction) -> None:
-        for connection in self._open:
+        """Complete a transaction that has timed out, and close its connection if it has one."""
+        for connection in self._connections:
             if connection.transaction is transaction:
                 connection.transaction = None
                 is_committed = connection.session.is_committed
                 connection.transport.abortConnection()
                 transaction.complete_all(
-                    Failed("no answer in time", is_result_lost=True)
+                    Failed("no reply before the timeout", is_result_lost=True)
                     if is_committed
                     else Refused(0.0, "timed out before the message was sent")
                 )
--- a/honeybarrow/config/schema.py
+++ b/honeybarrow/config/schema.py
@@ -48,7 +48,19 @@
         "is_ordered": "keep_order",
     },
 ):
-    """A class of messages; see :class:`honeybarrow.settings.MessageClass`."""
+    """A class of messages; see :class:`honeybarrow.settings.MessageClass`.
+
+    Attributes:
+        latency_objective_us: the time within which a message has its full utility.
+        deadline_us: the time within which a message must have its final result.
+        idempotency: whether a retry is harmless (``safe``), harmless with an idempotency key (``keyed``) or
+            may repeat the effect (``unsafe``).
+        key_scope: where the partner knows an idempotency key.
+        key_window_us: how long the partner knows an idempotency key.
+        priority_weight: the weight of the class when capacity is short.
+        late_utility: the share of the utility that remains at the deadline.
+        is_ordered: whether messages with the same order key are delivered in order.
+    """
 
     script_word: ClassVar[str] = "message_class"
     name: Name
@@ -203,7 +215,7 @@
     Attributes:
         max_buffered_bytes: the size of the messages being received, over all sessions.
         result_retention_us: how long final results are kept for messages that are submitted again.
-        max_retained_results: the number of final results that are kept.
+        max_retained_results: the maximum number of final results that are kept.
         max_hops: the number of Received lines above which a message is rejected as a loop.
     """
 
@@ -287,7 +299,7 @@
         max_recovery_wait_us: the longest wait between probes of an ejected zone.
         recovery_probe_duration_us: the duration of a probe of an ejected zone.
         relapse_window_us: the time after a recovery in which another outage counts as a relapse.
-        max_ejected_zones: the number of zones that may be ejected at once; 0 for half of those listed.
+        max_ejected_zones: the maximum number of zones ejected at once; 0 for half of those listed.
     """
 
     script_word: ClassVar[str] = "fleet"
@@ -364,7 +376,19 @@
         "ambiguous_key_rest_us": "settle",
     },
 ):
-    """The parameters of the sending policy: durations, shares and multiples (``docs/decisions.md``)."""
+    """The parameters of the sending policy (``docs/decisions.md``).
+
+    A destination that returns after an outage starts at ``start_capacity`` of its capacity, reaches full
+    capacity after ``warm_up_us``, and collapses if the calls within ``collapse_window_us`` exceed
+    ``collapse_multiple`` times its capacity at that time.
+
+    Attributes:
+        drain_grace_us: the time after an endpoint starts to drain in which attempts may still start.
+        poll_interval_us: the longest time between requests for the endpoint list.
+        answer_grace_us: the time after its deadline in which a message may still get its final result.
+        ambiguous_key_rest_us: the time without attempts for an order key after an attempt whose effect is
+            unknown.
+    """
 
     script_word: ClassVar[str] = "rules"
     drain_grace_us: Micros = 250_000
@@ -403,6 +427,12 @@
     """The settings of one forwarder process.
 
     Attributes:
+        classes: the message classes.
+        register: the register that lists the partners.
+        listeners: the listening addresses of the mail fronts.
+        kinds: the kinds of destination.
+        tenants: the tenants and their quotas.
+        clients: the client programs that are identified.
         allowed_clients: the networks whose clients may connect.
         allowed_networks: the networks that partners' addresses may lie in.
         forbidden_networks: the parts of ``allowed_networks`` that partners' addresses may not lie in.
@@ -411,7 +441,16 @@
         may_share_networks: whether a partner may have addresses in the networks of another partner.
         zone: the network zone of this forwarder, whose addresses are tried first.
         accounts_file: the file of accounts for AUTH.
+        slots: the maximum number of attempts in flight.
+        max_open: the maximum number of accepted messages without a final result.
+        forwarder_count: the number of forwarders that share the limits of the destinations.
+        max_attempts: the maximum number of attempts for one message.
+        utility_decay: how the utility of a message falls after its latency objective.
+        weight_source: the meaning of the weight of a listed endpoint.
+        over_quota_weight: the factor on the weight of messages above the quota of their tenant.
+        max_retry_after_us: the longest time that a refused client is asked to wait; 0 for no such hint.
         drain_timeout_us: the time for open messages to complete when the process stops.
+        seed: the seed of random decisions; 0 for a different one at each start.
     """
 
     script_word: ClassVar[str] = "forwarder"
--- a/honeybarrow/metrics.py
+++ b/honeybarrow/metrics.py
@@ -40,8 +40,8 @@
             "Status of a zone, for all members or for those of one zone; 1 for the current status",
             labels=["zone", "members_of", "stand"],
         )
-        for each in counts.zone_statuses:
-            zones.add_metric([each.zone, each.source_zone, each.status], 1)
+        for zone in counts.zone_statuses:
+            zones.add_metric([zone.zone, zone.source_zone, zone.status], 1)
         yield zones
         yield GaugeMetricFamily(
             "honeybarrow_fleet_kept_destinations",
@@ -127,11 +127,11 @@
         self._open[message] = _OpenMessage(class_name, partner, left_us)
         self._child(self._accepted_total, class_name).inc()
 
-    def connect_finished(self, address: str, outcome: str, took_us: int) -> None:
+    def connect_finished(self, address: str, outcome: str, duration_us: int) -> None:
         """Count a finished connection attempt, and record its duration if one is given."""
         self._child(self._connects_total, address, outcome).inc()
-        if took_us:
-            self._child(self._connect_seconds, address).observe(took_us / 1e6)
+        if duration_us:
+            self._child(self._connect_seconds, address).observe(duration_us / 1e6)
 
     def attempt_started(self, message: str, number: int, target: str) -> None:
         """Do nothing: attempts are counted when they finish."""
--- a/honeybarrow/service.py
+++ b/honeybarrow/service.py
@@ -124,8 +124,8 @@
                 update = self.directory.apply_line(saved_list, is_saved=True)
             except ListError as error:
                 self.log.warning("saved_list_invalid", **error_log_fields(error))
-        for listen, factory in zip(self.settings.listeners, self.mail_factories, strict=True):
-            self.ports.append(self.reactor.listenTCP(listen.port, factory, interface=listen.host))
+        for listener, factory in zip(self.settings.listeners, self.mail_factories, strict=True):
+            self.ports.append(self.reactor.listenTCP(listener.port, factory, interface=listener.host))
         if self.agent is not None:
             host, port = self.agent.start()
             self.log.info("listening", fleet=self.agent.config.fleet_name, host=host, port=port)
@@ -150,12 +150,12 @@
 
         The returned Deferred fires when everything is closed.
         """
-        closing = [maybeDeferred(port.stopListening) for port in self.ports]
+        closing_ports = [maybeDeferred(port.stopListening) for port in self.ports]
         self.mail_connections.start_drain()
         done: Deferred[None] = Deferred()
         timer = self.reactor.callLater(self.settings.drain_timeout_us / 1e6, self._on_drain_timeout)
 
-        def on_drained(_: Any) -> None:
+        def close_all(_: Any) -> None:
             if timer.active():
                 timer.cancel()
             self.register.stop()
@@ -165,7 +165,7 @@
             self.reactor.callLater(LAST_WRITE_DELAY_S, lambda: None if done.called else done.callback(None))
 
         drained = self.forwarder.wait_until_drained()
-        DeferredList([drained, *closing], consumeErrors=True).addCallback(on_drained)
+        DeferredList([drained, *closing_ports], consumeErrors=True).addCallback(close_all)
         return done
 
     def _on_drain_timeout(self) -> None:
@@ -221,6 +221,7 @@
         return partner.name if partner else str(number)
 
     def _subscribe(self) -> None:
+        """Request the list of partners from the register."""
         self.register.subscribe()
 
     def handle_list_update(self, update: MembershipUpdate) -> None:
@@ -237,6 +238,7 @@
         )
 
     def _find_addresses(self, target: str) -> list[Address]:
+        """Return the addresses of an endpoint that may be called."""
         return self.addresses.find(target)
 
     def _on_connect_finished(self, address: Address, outcome: str, duration_us: int) -> None:
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -63,9 +63,9 @@
         result = in_reactor(submitter.submit, "", "post@bad.example", CONTENT, 1)
         assert isinstance(result, Failed) and 0 < result.retry_within_s < 3
         repeated = [in_reactor(submitter.submit, "", "note@good.example", CONTENT) for _ in range(20)]
-        assert repeated == [Delivered()] * 20 and len(submitter._open) <= 3
+        assert repeated == [Delivered()] * 20 and len(submitter._connections) <= 3
         in_reactor(submitter.close)
-        wait_until(lambda: not submitter._open)
+        wait_until(lambda: not submitter._connections)
 
 
 def test_refusal_has_a_retry_delay_and_missing_listener_is_a_refusal() -> None:
@@ -100,7 +100,7 @@
         live.list_partner("p.example", ScriptedPartner(reply_late).port)
         submitter = client(live.ports["smtp"])
         result = in_reactor(submitter.submit, "", "pay@p.example", CONTENT, None, "once", 0.5)
-        assert result == Failed("no answer in time", is_result_lost=True)
+        assert result == Failed("no reply before the timeout", is_result_lost=True)
         resubmitted: list[Any] = []
         in_reactor(
             lambda: (
