--- a/honeybarrow/service.py
+++ b/honeybarrow/service.py
@@ -93,7 +93,7 @@
         self.addresses = EndpointAddresses(
             self.directory, parts.build_egress_policy(settings), self.address_health, log
         )
-        self.agent = parts.build_fleet_agent(
+        self.fleet_agent = parts.build_fleet_agent(
             environment,
             lambda update: self.forwarder.apply_membership_update(update),
             zone_verdict_storage.load,
@@ -126,9 +126,9 @@
                 self.log.warning("saved_list_invalid", **error_log_fields(error))
         for listener, factory in zip(self.settings.listeners, self.mail_factories, strict=True):
             self.ports.append(self.reactor.listenTCP(listener.port, factory, interface=listener.host))
-        if self.agent is not None:
-            host, port = self.agent.start()
-            self.log.info("listening", fleet=self.agent.config.fleet_name, host=host, port=port)
+        if self.fleet_agent is not None:
+            host, port = self.fleet_agent.start()
+            self.log.info("listening", fleet=self.fleet_agent.config.fleet_name, host=host, port=port)
         if update is None:
             update = self.directory.apply(EMPTY_LIST, is_saved=True)
         self.handle_list_update(update)
@@ -159,8 +159,8 @@
             if timer.active():
                 timer.cancel()
             self.register.stop()
-            if self.agent is not None:
-                self.agent.stop()
+            if self.fleet_agent is not None:
+                self.fleet_agent.stop()
             self.pool.close_all_idle()
             self.reactor.callLater(LAST_WRITE_DELAY_S, lambda: None if done.called else done.callback(None))
 
@@ -188,8 +188,8 @@
                 "list_version": ("Version of the endpoint list", lambda: float(self.directory.version)),
             }
         )
-        if self.agent is not None:
-            metrics.register_fleet(self.agent.collect_metrics)
+        if self.fleet_agent is not None:
+            metrics.register_fleet(self.fleet_agent.collect_metrics)
         return metrics
 
     def _build_forwarder(
@@ -212,7 +212,7 @@
             on_crash,
             observer,
             self._partner_name,
-            call_observer=self.agent,
+            call_observer=self.fleet_agent,
         )
 
     def _partner_name(self, number: int) -> str:
@@ -234,7 +234,7 @@
         ):
             self.pool.update_addresses({target: addresses})
         self.forwarder.apply_membership_update(
-            self.agent.filter_endpoint_update(update) if self.agent is not None else update
+            self.fleet_agent.filter_endpoint_update(update) if self.fleet_agent is not None else update
         )
 
     def _find_addresses(self, target: str) -> list[Address]:
