--- a/honeybarrow/config/script.py
+++ b/honeybarrow/config/script.py
@@ -23,7 +23,7 @@
 Record = TypeVar("Record", bound=schema.StrictRecord)
 MICROSECONDS_PER_UNIT = {"us": 1, "ms": 1_000, "s": 1_000_000, "m": 60_000_000}
 DURATION_PATTERN = re.compile(r"(\d+(?:\.\d+)?)(us|ms|s|m)")
-MAX_SCRIPT_BYTES = 1 << 20  # bounds the memory for a wrong file
+MAX_SCRIPT_BYTES = 1 << 20
 
 
 class ConfigError(HoneybarrowError):
