--- a/honeybarrow/rehearsal/__init__.py
+++ b/honeybarrow/rehearsal/__init__.py
@@ -1,4 +1,4 @@
-"""Rehearsals: scenarios with stand-in partners, register and clients, and the check of the six rules."""
+"""Rehearsals: scenarios with stand-in partners, register and clients, and the rule checker for their runs."""
 
 from honeybarrow.rehearsal.event_log import EventKind, EventLog, EventLogEntry, read_event_log
 from honeybarrow.rehearsal.rule_check_result import RULES, Rule, RuleCheckResult, format_report
--- a/honeybarrow/rehearsal/event_log.py
+++ b/honeybarrow/rehearsal/event_log.py
@@ -1,4 +1,7 @@
-"""What stand-ins read and wrote on their sockets, with times. The rule checker reads nothing else."""
+"""Event log of the stand-ins: what they read and wrote on their sockets, with times.
+
+The rule checker uses no other input.
+"""
 
 from __future__ import annotations
 
@@ -9,20 +12,20 @@
 from pathlib import Path
 from typing import Any
 
-MAX_ENTRIES = 2_000_000  # a rehearsal is bounded in time and rate; this stops one that is not
+MAX_ENTRIES = 2_000_000  # bounds the memory that a run can use
 
 
 class EventKind(enum.StrEnum):
-    """What an entry tells. The values are written to files: they stay."""
+    """Kind of an event. The values are part of the file format."""
 
     RUN_STARTED = "began"
-    # of clients
+    # Recorded by clients.
     MESSAGE_CREATED = "asked"
     MESSAGE_SUBMITTED = "handed"
     FINAL_REPLY = "answered"
     SUBMISSION_REJECTED = "not taken"
     SUBMISSION_LOST = "lost"
-    # of stand-in servers
+    # Recorded by stand-in servers.
     FAULT = "trouble"
     ADDRESS_FAULT = "spot"
     COLLAPSED = "fell"
@@ -36,12 +39,12 @@
     CALL_UNHEARD = "call unheard"
     MESSAGE_EXECUTED = "ran"
     DUPLICATE_DROPPED = "dropped"
-    # of the register
+    # Recorded by the register.
     REGISTER_DOWN = "down"
     UPDATE_SENT = "told"
     MALFORMED_UPDATE_SENT = "told badly"
     STALE_UPDATE_SENT = "told stale"
-    # of the scenario
+    # Recorded by the scenario runner and the stand-in environment.
     ZONE_FAULT = "zone"
     LINK_FAULT = "links"
     FORWARDER_KILLED = "killed"
@@ -51,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EventLogEntry:
-    """One event: microseconds on the rehearsal's clock, who recorded it, its kind, and its fields."""
+    """One event: its time in microseconds on the rehearsal's clock, source, kind and fields."""
 
     at_us: int
     source: str
@@ -59,16 +62,19 @@
     fields: dict[str, Any]
 
     def __getitem__(self, name: str) -> Any:
-        """The value of a field, or ``None``."""
+        """Return the value of a field, or ``None`` if the entry does not have it."""
         return self.fields.get(name)
 
     def as_row(self) -> dict[str, Any]:
-        """The entry as a line of a log file has it."""
+        """Return the entry as the JSON object that is written to a log file."""
         return {"at": self.at_us, "who": self.source, "what": self.kind, **self.fields}
 
 
 class EventLog:
-    """Entries in the order of their times. ``on_entry`` is called with each one."""
+    """Entries in the order in which they were recorded. ``on_entry`` is called with each new entry.
+
+    With ``keep_entries`` false, entries are only passed to ``on_entry``.
+    """
 
     def __init__(
         self,
@@ -80,7 +86,10 @@
         self.entries: list[EventLogEntry] = []
 
     def record(self, source: str, event_kind: EventKind, **fields: Any) -> None:
-        """Add an entry at the present time. Raises ``RuntimeError`` if the log is full."""
+        """Record an event at the current time.
+
+        Raises ``RuntimeError`` if the log is full.
+        """
         if len(self.entries) >= MAX_ENTRIES:
             raise RuntimeError("the event log is full")
         entry = EventLogEntry(self.now_us(), source, event_kind, fields)
@@ -97,7 +106,7 @@
 
 
 def read_event_log(path: Path) -> list[EventLogEntry]:
-    """Read the entries of a file that :meth:`EventLog.write` wrote."""
+    """Return the entries of a file written by :meth:`EventLog.write`."""
     entries = []
     for line in path.read_text(encoding="utf-8").splitlines():
         row = json.loads(line)
--- a/honeybarrow/rehearsal/fault_injection.py
+++ b/honeybarrow/rehearsal/fault_injection.py
@@ -1,8 +1,8 @@
-"""Faults of the links between forwarders: a relay on loopback for each pair of them.
+"""Fault injection for the links between forwarders: a relay on loopback for each ordered pair of them.
 
-Where a forwarder's settings name a peer at another address than the one that the peer listens at, a relay
-listens there, for datagrams and streams, and forwards them to the peer: late, reordered, duplicated, or not
-at all, as the link's condition has it. So each direction of each pair fails by itself.
+If the settings of a forwarder give an address for a peer at which the peer itself does not listen, a relay
+listens there for datagrams and connections and forwards them to the peer. Depending on the condition of the
+link it delays, reorders, duplicates or drops them. Each direction of a pair can fail independently.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 from honeybarrow.ports import Reactor
 from honeybarrow.rehearsal.schema import Fault
 
-MAX_STREAMS = 500  # through all relays at once
-MAX_DELAYED_CHUNKS = 10_000  # on their way at once; what comes beyond is lost, as on a full link
-JITTER_SHARE = 0.5  # of a delay: enough that datagrams overtake each other
+MAX_STREAMS = 500  # open connections of all relays
+MAX_DELAYED_CHUNKS = 10_000  # scheduled at the same time; further chunks are dropped
+JITTER_SHARE = 0.5  # of the delay, so that datagrams are reordered
 LOSSY_JITTER_US = 20_000
 
 
 @dataclass(frozen=True, slots=True)
 class LinkCondition:
-    """The condition of the link from one forwarder to another.
+    """Condition of the link from one forwarder to another.
 
-    Added delay and jitter are in microseconds, the rates are shares of the datagrams that are lost or
-    duplicated. ``is_cut``: nothing arrives.
+    Delay and jitter are added to the latency of the link, in microseconds. The rates are fractions of the
+    datagrams. A link with ``is_cut`` delivers nothing.
     """
 
     is_cut: bool = False
@@ -45,7 +45,7 @@
 
 
 def make_link_condition(fault: Fault) -> LinkCondition:
-    """Make the condition that a fault of links puts each link in that it names."""
+    """Return the condition of the links affected by a fault."""
     match fault.kind:
         case "link_slow":
             delay_us = int(fault.magnitude * 1000)
@@ -60,7 +60,7 @@
 
 
 class LinkRelays:
-    """The relays of all pairs of forwarders that their settings name."""
+    """Relays for all pairs of forwarders whose settings name a relay address."""
 
     def __init__(self, reactor: Reactor, forwarders: Sequence[ForwarderConfig], rng: random.Random) -> None:
         self.reactor, self.rng = reactor, rng
@@ -77,7 +77,10 @@
                     self._listen(name, peer, relay_address, peer_address, listen_addresses[name])
 
     def set_link_condition(self, sender: str, receiver: str, condition: LinkCondition) -> None:
-        """Set the condition of a link from now on; streams that a cut meets carry nothing any more."""
+        """Set the condition of a link from now on.
+
+        Connections that are open when the link is cut stay open but carry no more data.
+        """
         self.link_conditions[sender, receiver] = condition
         if condition.is_cut:
             for connection in list(self.connections):
@@ -86,16 +89,16 @@
                     connection.is_blackholed = True
 
     def link_condition(self, sender: str, receiver: str) -> LinkCondition:
-        """The condition of a link now."""
+        """Return the current condition of a link."""
         return self.link_conditions.get((sender, receiver), UNIMPAIRED)
 
     def close(self) -> None:
-        """Stop listening."""
+        """Stop all listeners."""
         for listener in self.listeners:
             listener.stopListening()
 
     def delay(self, condition: LinkCondition, deliver: Callable[[], None]) -> None:
-        """Call ``deliver`` after the delay of a link."""
+        """Call ``deliver`` after the delay of a link, or drop the chunk if too many are delayed already."""
         delay_us = condition.delay_us + (
             self.rng.randrange(condition.jitter_us + 1) if condition.jitter_us else 0
         )
@@ -127,7 +130,7 @@
 
 
 class _DatagramRelay(DatagramProtocol):
-    """Relays the datagrams from one forwarder to another, and the replies to them."""
+    """Relay for the datagrams from one forwarder to another and for the replies to them."""
 
     transport: Any = None
 
@@ -143,7 +146,7 @@
         self.receiver_address, self.sender_address = receiver_address, sender_address
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-        # A member that knows no other address replies to where the datagram came from, which is here.
+        # A peer that knows no other address replies to the source address, which is that of this relay.
         is_reply = addr == self.receiver_address
         destination = self.sender_address if is_reply else self.receiver_address
         link = (self.receiver, self.sender) if is_reply else (self.sender, self.receiver)
@@ -159,13 +162,13 @@
             self.relays.delay(condition, lambda: self._write(datagram, destination))
 
     def _write(self, datagram: bytes, destination: tuple[str, int]) -> None:
-        if self.transport is not None:  # it is none once the relay has closed
+        if self.transport is not None:  # None after the relay was closed
             self.relays.relayed_datagrams += 1
             self.transport.write(datagram, destination)
 
 
 class _RelayConnection(Protocol):
-    """One side of a connection that is relayed; what it receives goes to the other side."""
+    """One side of a relayed connection; it forwards the data it receives to the other side."""
 
     transport: Any = None
 
@@ -193,7 +196,7 @@
             self.peer.transport.write(data)
 
     def connect_peer(self, peer: _RelayConnection) -> None:
-        """Forward what has arrived so far: the other side is connected."""
+        """Forward the data received so far to the other side, which is now connected."""
         self.peer = peer
         for data in self.pending:
             peer.transport.write(data)
@@ -210,7 +213,7 @@
 
 
 class _StreamRelayFactory(Factory):
-    """Relays the connections from one forwarder to another."""
+    """Factory for the connections from one forwarder to another."""
 
     noisy = False
 
@@ -227,14 +230,14 @@
         outbound = self.relays.link_condition(self.sender, self.receiver)
         inbound = self.relays.link_condition(self.receiver, self.sender)
         if outbound.is_cut or inbound.is_cut:
-            near.is_blackholed = True  # the connect itself can't be kept from being accepted
+            near.is_blackholed = True  # the kernel has accepted the connection already
         else:
             self.relays.reactor.connectTCP(*self.receiver_address, _UpstreamFactory(near), timeout=5)
         return near
 
 
 class _UpstreamFactory(ClientFactory):
-    """Connects a relayed connection to its receiver."""
+    """Factory for the connection from the relay to the receiver."""
 
     noisy = False
 
--- a/honeybarrow/rehearsal/plot.py
+++ b/honeybarrow/rehearsal/plot.py
@@ -1,4 +1,4 @@
-"""Draws a run: calls by zone, calls that were lost, and when what failed. Needs matplotlib."""
+"""Plots of a run: calls and lost calls by zone, and the faults. Requires matplotlib."""
 
 from __future__ import annotations
 
@@ -19,23 +19,26 @@
 
 
 class PlotError(HoneybarrowError):
-    """No picture; the text says why."""
+    """The plot could not be written."""
 
     code = "HB901"
     remedy = "leave --plot out, or install the development requirements"
 
 
 def plot(entries: Sequence[EventLogEntry], scenario: Scenario, path: Path) -> None:
-    """Write a picture in the format that the name of ``path`` ends in. Raises :class:`PlotError`."""
+    """Write a plot of a run to ``path``, in the format given by its suffix.
+
+    Raises :class:`PlotError` if matplotlib is missing, there are no entries or the file can't be written.
+    """
     try:
         import matplotlib
     except ImportError:
-        raise PlotError("a picture wants matplotlib, which is not installed") from None
+        raise PlotError("matplotlib is not installed") from None
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     if not entries:
-        raise PlotError("nothing happened on this day")
+        raise PlotError("nothing happened in this run: its event log is empty")
     counts = _count_calls(entries, scenario)
     seconds = range(0, scenario.duration_us // SECOND_US + 10)
     figure, (upper, lower) = pyplot.subplots(2, 1, figsize=(10, 6), sharex=True)
@@ -65,7 +68,7 @@
 
 
 class CallCounts(NamedTuple):
-    """Calls and lost calls by zone and second of a run, and the zones."""
+    """Calls and lost calls by zone and second of the run, and the names of the zones."""
 
     calls: Counter[tuple[str, int]]
     lost_calls: Counter[tuple[str, int]]
--- a/honeybarrow/rehearsal/rule_check_result.py
+++ b/honeybarrow/rehearsal/rule_check_result.py
@@ -1,4 +1,4 @@
-"""The result of a check of the rules: violations by rule, figures of the run, a report for people."""
+"""Result of a rule check: violations by rule, figures of the run, and the printed report."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from honeybarrow.rehearsal.event_log import EventKind
 from honeybarrow.rehearsal.zone_outages import ZoneOutage, format_zone_outages
 
-MAX_EXAMPLES = 5  # violations of a rule that the report tells in words
+MAX_EXAMPLES = 5  # violations of each rule that the report describes
 
 
 class Rule(enum.StrEnum):
-    """The rules that a forwarder keeps. Their values are printed: they stay."""
+    """Rules that a forwarder has to keep. The values are printed in reports."""
 
-    LOST = "lost"  # each submission gets exactly one final reply, in time
-    EFFECT = "effect"  # what must not run twice does not, and what ran is not called refused
-    DRAIN = "drain"  # no calls to an endpoint that drains
-    FAIL_BACK = "fail-back"  # a partner that returns is not overloaded
-    ORDER = "order"  # messages of one order key run one after another
-    WAIT = "wait"  # Retry-After is kept
+    LOST = "lost"  # each submission gets exactly one final reply before its deadline
+    EFFECT = "effect"  # no forbidden second execution; no refusal of a message that was executed
+    DRAIN = "drain"  # no calls to a draining endpoint
+    FAIL_BACK = "fail-back"  # no overload of a partner that recovers from an outage
+    ORDER = "order"  # messages with the same order key are executed one at a time
+    WAIT = "wait"  # no calls before Retry-After has passed
 
 
 RULES = tuple(Rule)
-SUBMISSIONS = "hand-ins"  # these and the next are counts that a report prints
+SUBMISSIONS = "hand-ins"  # name of the count of submissions in reports
 OUTCOME_OF_REPLY = {2: "delivered", 4: "refused", 5: "failed"}  # by the first digit of the reply's code
-NO_OUTCOME = "without answer"
+NO_OUTCOME = "without answer"  # name of the count of submissions without a final reply
 REPORTED_COUNTS = (
     EventKind.MESSAGE_CREATED,
     SUBMISSIONS,
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassFigures:
-    """What came of a message class: messages, and shares of them that were in time, and of their utility."""
+    """Figures of a message class: number of messages, share delivered in time, share of the utility."""
 
     messages: float
     in_time_share: float
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class RuleCheckResult:
-    """Violations by rule, described in words, and the figures of a run."""
+    """Descriptions of the violations by rule, and the figures of a run."""
 
     violations: dict[Rule, list[str]] = field(default_factory=lambda: {rule: [] for rule in RULES})
     counts: dict[str, int] = field(default_factory=lambda: defaultdict(int))
@@ -57,17 +57,17 @@
 
     @property
     def has_passed(self) -> bool:
-        """Whether all rules held."""
+        """Whether no rule was violated."""
         return not any(self.violations.values())
 
     @property
     def violated_rules(self) -> tuple[Rule, ...]:
-        """The rules that did not hold."""
+        """The rules that were violated."""
         return tuple(rule for rule, violations in self.violations.items() if violations)
 
 
 def format_report(result: RuleCheckResult, name: str, seed: int) -> str:
-    """Format a result as a report for people, of a scenario's name and seed."""
+    """Return a result as a printable report, headed by the scenario's name and seed."""
     outcome = "all rules held" if result.has_passed else "RULES BROKEN"
     lines = [f"rehearsal {name}, seed {seed}: {outcome}", ""]
     for rule, violations in result.violations.items():
--- a/honeybarrow/rehearsal/rule_checker.py
+++ b/honeybarrow/rehearsal/rule_checker.py
@@ -1,7 +1,7 @@
-"""Checks the rules against what the sockets carried. Reads event logs, nothing of the forwarders'.
+"""Checker of the rules against the event log of a run. It uses no data of the forwarders themselves.
 
-Times are those of the stand-ins' process; ``SLACK_US`` is what may lie, on a loaded machine, between an
-action of a forwarder and its entry here. A violation is always more than that.
+All times are from the clock of the stand-ins' process. ``SLACK_US`` allows for the delay between an action
+of a forwarder and its entry in the log on a loaded machine.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 SLACK_US = 150_000
 SECOND_US = 1_000_000
-CRASH_REPORT_US = SECOND_US  # within it the clients of a forwarder that was killed lose their connections
-COLLAPSE_MARGIN = 3  # calls over its budget that a partner that warms up bears
+CRASH_REPORT_US = SECOND_US  # time within which clients notice that a forwarder was killed
+COLLAPSE_MARGIN = 3  # calls above its budget that a partner tolerates while it warms up
 OUTAGE_FAULTS = frozenset({"refuse", "shut", "hang", "silent", "errors"})
 
 
 class Span(NamedTuple):
-    """A span of time, in microseconds."""
+    """Interval of time, in microseconds."""
 
     start_us: int
     end_us: int
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderedCall:
-    """A call with a message that has an order key, and when it ended; ambiguous if it may have run."""
+    """Call with a message that has an order key; ambiguous if the message may have been executed."""
 
     entry: EventLogEntry
     end_us: int
@@ -43,7 +43,7 @@
 
 
 class RuleChecker:
-    """Checks the entries of one run."""
+    """Checker for the event log of one run."""
 
     def __init__(
         self, entries: Iterable[EventLogEntry], scenario: Scenario, forwarder: ForwarderConfig
@@ -58,11 +58,11 @@
         self.submissions: list[Submission] = []
 
     def check(self) -> RuleCheckResult:
-        """Check all rules and compute the figures."""
+        """Check all rules, compute the figures and return both."""
         collected = collect_submissions(self.entries, self.classes)
         self.submissions = collected.submissions
         for message in collected.unexpected_replies:
-            self._add_violation(Rule.LOST, f"{message}: an answer that nobody waits for")
+            self._add_violation(Rule.LOST, f"{message}: unexpected final reply")
         self._check_final_replies()
         self._check_effects()
         self._check_drains()
@@ -76,7 +76,7 @@
     def _add_violation(self, rule: Rule, description: str) -> None:
         self.result.violations[rule].append(description)
 
-    # one final reply
+    # Final replies
 
     def _check_final_replies(self) -> None:
         kills_us = defaultdict(list)
@@ -99,17 +99,20 @@
         if submission.replied_us == NEVER:
             lost_us = submission.connection_lost_us
             if not any(at - SLACK_US <= lost_us <= at + CRASH_REPORT_US for at in kills_us):
-                self._add_violation(Rule.LOST, f"{message}: no final answer from {submission.forwarder}")
+                self._add_violation(Rule.LOST, f"{message}: no final reply from {submission.forwarder}")
         elif submission.replied_us > self._latest_reply_us(submission, pauses):
             late_s = (submission.replied_us - submission.deadline_us) / 1e6
-            self._add_violation(Rule.LOST, f"{message}: answered {late_s:.3f} s past its time")
+            self._add_violation(Rule.LOST, f"{message}: final reply {late_s:.3f} s after its deadline")
 
     def _latest_reply_us(self, submission: Submission, pauses: Sequence[Span]) -> int:
-        """Until when a reply is in time. A paused process can't reply: it must as soon as it runs."""
+        """Return the latest permitted time of a final reply.
+
+        A paused forwarder has to reply as soon as it runs again.
+        """
         latest_us = submission.deadline_us + self.rules.answer_grace_us + SLACK_US
         for start_us, end_us in pauses:
             if start_us <= submission.submitted_us <= end_us:
-                # it lay unread; its time runs from when it is accepted
+                # The forwarder reads it after the pause, and its time left counts from then.
                 latest_us += end_us - submission.submitted_us
             if start_us <= latest_us <= end_us + SLACK_US:
                 latest_us = end_us + self.rules.answer_grace_us + SLACK_US
@@ -120,9 +123,11 @@
         for began_us in calls_us:
             if end_us < began_us < submission.resubmitted_us:
                 late_s = (began_us - end_us) / 1e6
-                self._add_violation(Rule.LOST, f"{submission.message}: sent {late_s:.3f} s after its answer")
+                self._add_violation(
+                    Rule.LOST, f"{submission.message}: sent {late_s:.3f} s after its final reply"
+                )
 
-    # side effects
+    # Side effects
 
     def _check_effects(self) -> None:
         executions: dict[str, list[EventLogEntry]] = defaultdict(list)
@@ -131,19 +136,19 @@
         for message, found in executions.items():
             effect = self.classes[found[0]["message_class"]].idempotency
             if len(found) > 1 and effect != "safe":
-                self._add_violation(Rule.EFFECT, f"{message} ({effect}): took effect {len(found)} times")
+                self._add_violation(Rule.EFFECT, f"{message} ({effect}): executed {len(found)} times")
         for submission in self.submissions:
             if submission.message_class.idempotency != "unsafe" or submission.reply_code // 100 != 4:
                 continue
             for entry in executions[submission.message]:
                 is_own = entry["forwarder"] == submission.forwarder
                 if is_own and submission.submitted_us <= entry.at_us < submission.resubmitted_us:
-                    self._add_violation(Rule.EFFECT, f"{submission.message}: refused, though it took effect")
+                    self._add_violation(Rule.EFFECT, f"{submission.message}: refused, but it was executed")
 
-    # drains
+    # Drains
 
     def _check_drains(self) -> None:
-        drained_us: dict[tuple[str, str], int] = {}  # since when, by forwarder and target
+        drained_us: dict[tuple[str, str], int] = {}  # start of the drain, by forwarder and target
         for entry in self.entries:
             if entry.kind is EventKind.UPDATE_SENT:
                 self._apply_update(entry, drained_us)
@@ -153,7 +158,7 @@
                     late_s = (entry["began"] - known_us) / 1e6
                     self._add_violation(
                         Rule.DRAIN,
-                        f"{entry['target']}: a call {late_s:.3f} s after {entry['forwarder']} knew",
+                        f"{entry['target']}: call {late_s:.3f} s after {entry['forwarder']} got the drain",
                     )
 
     @staticmethod
@@ -168,7 +173,7 @@
             else:
                 drained_us.setdefault((entry["forwarder"], target), entry.at_us)
 
-    # partners that return
+    # Recovery of partners
 
     def _check_fail_back(self) -> None:
         for partner in self.scenario.partners:
@@ -193,7 +198,7 @@
             for entry in entries
             if entry.kind is EventKind.CALL_STARTED and end_us <= entry.at_us <= end_us + rules.warm_up_us
         ]
-        aware, is_anybody_aware = find_aware_forwarders(entries, outage)
+        aware, is_any_aware = find_aware_forwarders(entries, outage)
         first = 0
         for index, call in enumerate(calls):
             while calls[first].at_us < call.at_us - rules.collapse_window_us:
@@ -208,16 +213,16 @@
             window = calls[first : index + 1]
             if len(window) <= budget:
                 continue
-            known = sum(is_anybody_aware or each["forwarder"] in aware for each in window)
+            known = sum(is_any_aware or each["forwarder"] in aware for each in window)
             if known * 3 >= 2 * len(window):
                 self._add_violation(
                     Rule.FAIL_BACK,
-                    f"{partner}: {len(window)} calls where {budget:.0f} were safe, {since_us / 1e6:.1f} s"
-                    f" after its return, {known} of them from forwarders that knew",
+                    f"{partner}: {len(window)} calls with a budget of {budget:.0f}, {since_us / 1e6:.1f} s"
+                    f" after its recovery, {known} of them from forwarders aware of the outage",
                 )
                 return
 
-    # order keys
+    # Order keys
 
     def _check_order(self) -> None:
         submissions: dict[tuple[str, str], list[Submission]] = defaultdict(list)
@@ -231,7 +236,7 @@
                 self._check_predecessors(order_key, call.entry, submissions[forwarder, order_key])
 
     def _find_ordered_calls(self) -> dict[tuple[str, str], list[OrderedCall]]:
-        """The calls with messages that have an order key, by forwarder and key."""
+        """Return the calls with messages that have an order key, by forwarder and key."""
         ends: dict[tuple[str, str], list[EventLogEntry]] = defaultdict(list)
         for entry in self.entries:
             if entry.kind in (EventKind.CALL_REPLIED, EventKind.CALL_LOST):
@@ -256,7 +261,7 @@
             if other.entry.at_us < one.end_us + rest_us - SLACK_US:
                 self._add_violation(
                     Rule.ORDER,
-                    f"key {order_key}: {other.entry['message']} sent while {one.entry['message']} is out",
+                    f"key {order_key}: {other.entry['message']} sent before {one.entry['message']} finished",
                 )
 
     def _check_predecessors(
@@ -273,7 +278,8 @@
             is_earlier = each.submitted_us + SLACK_US < own[-1].submitted_us
             if is_earlier and each.ended_us > call["began"] + SLACK_US:
                 self._add_violation(
-                    Rule.ORDER, f"key {order_key}: {call['message']} sent before {each.message} was over"
+                    Rule.ORDER,
+                    f"key {order_key}: {call['message']} sent before earlier {each.message} finished",
                 )
 
     # Retry-After
@@ -290,24 +296,25 @@
                     early_s = (end_us - entry["began"]) / 1e6
                     self._add_violation(
                         Rule.WAIT,
-                        f"{entry.source}: {entry['forwarder']} called {early_s:.3f} s too soon",
+                        f"{entry.source}: {entry['forwarder']} called {early_s:.3f} s too early",
                     )
                     break
 
 
 class AwareForwarders(NamedTuple):
-    """The forwarders that saw an outage, and whether it may have been seen by any of them."""
+    """Forwarders that noticed an outage, and whether an unidentified one noticed it."""
 
     names: set[str]
-    is_anybody_aware: bool
+    is_any_aware: bool
 
 
 def find_aware_forwarders(entries: Iterable[EventLogEntry], outage: Span) -> AwareForwarders:
-    """Find who saw a call to a partner fail or be rejected during its outage.
+    """Return the forwarders whose calls to a partner failed or were rejected during its outage.
 
-    Whose a lost connection was isn't known; it is taken for anybody's, which is the stricter way.
+    The forwarder of a lost connection is unknown, so each one counts as aware of it, which is the stricter
+    reading of the rule.
     """
-    names, is_anybody_aware = set(), False
+    names, is_any_aware = set(), False
     for entry in entries:
         if not outage.start_us <= entry.at_us <= outage.end_us:
             continue
@@ -315,5 +322,5 @@
         if is_rejected or entry.kind is EventKind.CALL_LOST:
             names.add(entry["forwarder"])
         if entry.kind in (EventKind.CONNECTION_REFUSED, EventKind.CONNECTION_ABANDONED):
-            is_anybody_aware = True
-    return AwareForwarders(names, is_anybody_aware)
+            is_any_aware = True
+    return AwareForwarders(names, is_any_aware)
--- a/honeybarrow/rehearsal/scenario_runner.py
+++ b/honeybarrow/rehearsal/scenario_runner.py
@@ -1,4 +1,4 @@
-"""Runs a scenario: stand-ins, register and clients in this process, forwarders where they are launched."""
+"""Runner of a scenario: stand-ins, register and clients in this process, forwarders by a launcher."""
 
 from __future__ import annotations
 
@@ -23,36 +23,36 @@
 
 
 class ForwarderLauncher(Protocol):
-    """Starts forwarders and ends them."""
+    """Interface that starts, stops and disturbs forwarders."""
 
     def start(self, settings: ForwarderConfig) -> Deferred[None]:
-        """Start a forwarder; fires when its fronts accept connections."""
+        """Start a forwarder; the result fires when its fronts accept connections."""
 
     def kill(self, name: str) -> None:
-        """End a forwarder at once, without a chance to finish anything."""
+        """Kill a forwarder without a clean shutdown."""
 
     def delete_saved_state(self, name: str) -> None:
-        """Delete what a forwarder has saved."""
+        """Delete the saved state of a forwarder."""
 
     def pause(self, name: str, duration_us: int) -> None:
-        """Give a forwarder no CPU for so long."""
+        """Suspend a forwarder for ``duration_us``."""
 
     def set_link_condition(self, sender: str, receiver: str, condition: LinkCondition) -> None:
         """Set the condition of the link from one forwarder to another from now on."""
 
     def stop_all(self) -> Deferred[None]:
-        """Stop all forwarders as an operator would; fires when they are gone."""
+        """Stop all forwarders cleanly; the result fires when they have exited."""
 
 
 class Link(NamedTuple):
-    """The link from one forwarder to another, by name."""
+    """Link from one forwarder to another, by their names."""
 
     sender: str
     receiver: str
 
 
 class ScenarioRunner:
-    """Runs one scenario, from the first listener to the check of the rules."""
+    """Runner of one scenario, from opening the listeners to the rule check."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
         self.end_us = 0
 
     def run(self) -> Deferred[RuleCheckResult]:
-        """Run the scenario; fires with the result of the check of the rules."""
+        """Run the scenario; the result fires with that of the rule check."""
         starting = [self.launcher.start(each) for each in self.forwarders.values()]
         remaining = len(starting)
 
@@ -94,7 +94,7 @@
         for listen in self.forwarders[forwarder].listeners:
             if listen.protocol == protocol:
                 return listen.host, listen.port
-        raise ValueError(f"{forwarder} has no {protocol} front")
+        raise ValueError(f"forwarder {forwarder!r} has no {protocol} listener")
 
     def _fail(self, failure: Any) -> None:
         if not self.done.called:
@@ -102,7 +102,7 @@
 
     def _start_messages(self) -> None:
         self.on_progress(
-            f"{len(self.forwarders)} forwarders up, {self.scenario.duration_us / 1e6:g} s of messages"
+            f"{len(self.forwarders)} forwarders started, {self.scenario.duration_us / 1e6:g} s of messages"
         )
         self.event_log.record("day", EventKind.RUN_STARTED)
         self.end_us = self.event_log.now_us() + self.scenario.duration_us + self.scenario.completion_grace_us
@@ -112,7 +112,7 @@
             self.reactor.callLater(fault.start_us / 1e6, self._start_fault, fault)
         self._check_completion()
 
-    # faults
+    # Faults
 
     def _start_fault(self, fault: Fault) -> None:
         self.on_progress(f"{fault.kind} {fault.target} for {fault.duration_us / 1e6:g} s".replace("  ", " "))
@@ -157,7 +157,7 @@
             )
 
     def _affected_links(self, fault: Fault) -> list[Link]:
-        """The links between the forwarders that a fault names, by name or zone, and all others."""
+        """Return the links between the forwarders that a fault names, by name or zone, and all others."""
         zones = self.stand_ins.forwarder_zones
         named = fault.target.split(",")
         affected = [
@@ -168,7 +168,7 @@
             return outbound
         return [*outbound, *(Link(link.receiver, link.sender) for link in outbound)]
 
-    # the end
+    # Completion
 
     def _check_completion(self) -> None:
         is_over = all(client.is_done for client in self.clients)
@@ -177,7 +177,7 @@
             return
         for client in self.clients:
             client.close_idle_connections()
-        self.on_progress("messages over, forwarders stop")
+        self.on_progress("all messages finished or timed out, stopping the forwarders")
         self.launcher.stop_all().addBoth(self._check_rules)
 
     def _check_rules(self, _: Any) -> None:
--- a/honeybarrow/rehearsal/scenarios/addresses.star
+++ b/honeybarrow/rehearsal/scenarios/addresses.star
@@ -1,4 +1,5 @@
-# Endpoints with four addresses each, of which a third fail in turn: closed, mute, hung before and after the end of data.
+# Endpoints with four addresses each. At each endpoint one address at a time fails: it refuses connections, sends no
+# greeting, hangs after MAIL, or sends no reply after the end of data.
 
 classes = [
     message_class("card-status", aim = "2s", deadline = "8s", late_share = 0.4),
@@ -49,7 +50,7 @@
 kinds = ["spot_refuse", "spot_mute", "spot_hang", "spot_deaf"]
 places = ["", "_2", "_3", "_4"]
 
-# Each partner loses an address in each of the four ways, one after another, the first and others in turn.
+# Each partner has one failing address for each of the four kinds of fault in turn, a different one each time.
 troubles = [
     trouble(kinds[k], at = "%ds" % (4 + 6 * k), last = "5s", who = "p%d%s" % (i, places[(i + k) % 4]))
     for k in range(4) for i in numbers
--- a/honeybarrow/rehearsal/scenarios/bad-day.star
+++ b/honeybarrow/rehearsal/scenarios/bad-day.star
@@ -1,4 +1,5 @@
-# A bad day: a chain shuts in mid-settlement, a partner falls silent, a forwarder dies, the register is gone.
+# Many faults in one run: closed, silent, hanging and throttled partners, a killed forwarder, a register that is down,
+# sends malformed updates and sends an old list.
 
 classes = [
     message_class("card-status", aim = "2s", deadline = "8s", late_share = 0.4),
--- a/honeybarrow/rehearsal/scenarios/calm.star
+++ b/honeybarrow/rehearsal/scenarios/calm.star
@@ -1,4 +1,4 @@
-# Six seconds without trouble: two partners, one forwarder, a limit that is met now and then.
+# Six seconds without faults: two partners, one forwarder, and a rate limit that is reached occasionally.
 
 classes = [
     message_class("note", aim = "1s", deadline = "4s", late_share = 0.4),
--- a/honeybarrow/rehearsal/scenarios/zone-lost.star
+++ b/honeybarrow/rehearsal/scenarios/zone-lost.star
@@ -1,4 +1,4 @@
-# A zone lost: 9 forwarders in 3 zones leave one that falls silent, by one verdict, over links that fail too.
+# Outage of a zone: a fleet of 9 forwarders in 3 zones has to agree to eject a silent zone over lossy links.
 
 classes = [
     message_class("card-status", aim = "2s", deadline = "8s", late_share = 0.4),
@@ -10,7 +10,7 @@
 zones = ["a", "b", "c"]
 numbers = [1, 2, 3, 4, 5, 6, 7, 8, 9]
 
-# Each is told its peers at relays of its own, so that each way between two can fail by itself.
+# Each forwarder reaches its peers through relays of its own, so that each direction of a link can fail independently.
 def make(i):
     return forwarder(
         "forwarder-%d" % i,
--- a/honeybarrow/rehearsal/schema.py
+++ b/honeybarrow/rehearsal/schema.py
@@ -1,7 +1,7 @@
-"""The records of scenario files beside those of the settings, with their bounds.
+"""Records of scenario files, in addition to those of the settings, with the bounds of their fields.
 
-The words of the files are older than the names here: each record's word is in ``SCENARIO_WORDS``, and a
-field's in the record's ``rename``, where it is another one. Durations are integers in microseconds.
+``SCENARIO_WORDS`` maps the words of the files to the records. Where the name of a field in the files differs
+from its name here, the record's ``rename`` gives it. Durations are integers in microseconds.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class AddressConfig(StrictRecord, frozen=True):
-    """A further address of an endpoint, on loopback: a host and port, or the path of a Unix socket."""
+    """Additional address of an endpoint: a host and port on loopback, or the path of a Unix socket."""
 
     name: Name
     host: Literal["127.0.0.1", "127.0.0.2", "127.0.0.3", "::1"] = "127.0.0.1"
@@ -29,7 +29,7 @@
 
     def __post_init__(self) -> None:
         if bool(self.port) == bool(self.path):
-            raise ValueError(f"spot {self.name}: a port or a path")
+            raise ValueError(f"spot {self.name}: expected either a port or a path")
 
 
 class EndpointConfig(
@@ -37,13 +37,13 @@
     frozen=True,
     rename={"is_listed": "listed", "addresses": "spots"},
 ):
-    """One endpoint of a stand-in partner; its own address has its name."""
+    """Endpoint of a stand-in partner. Its own address has the same name as the endpoint."""
 
     target: Name
     port: Port
     protocol: Literal["smtp", "lmtp"] = "smtp"
     zone: str = ""
-    is_listed: bool = True  # if not, the register lists it only once a fault of kind "add" does
+    is_listed: bool = True  # if false, the register lists it only after a fault of kind "add"
     addresses: tuple[AddressConfig, ...] = ()
 
 
@@ -62,10 +62,11 @@
         "max_connections": "connections",
     },
 ):
-    """A stand-in partner.
+    """Stand-in partner.
 
-    ``max_calls_per_s``: from all forwarders, 0 for no limit; with ``rate_window_us`` it is a number of calls
-    in each such window. ``retry_after_share``: of rejections that tell how long to wait.
+    ``max_calls_per_s`` limits the calls of all forwarders together, 0 for no limit; with ``rate_window_us``
+    the limit is enforced by counting calls in fixed windows of that length. ``retry_after_share`` is the
+    share of rejections that carry a retry delay.
     """
 
     name: Name
@@ -80,16 +81,16 @@
     workers: Positive = 8
     queue_capacity: Annotated[int, Meta(ge=0)] = 16
     max_connections: Positive = 60
-    weight: Annotated[float, Meta(ge=0.0)] = 0.0  # the listed calls a second; 0: as the limit or the capacity
+    weight: Annotated[float, Meta(ge=0.0)] = 0.0  # listed calls per second; 0 for the limit or the capacity
 
     @property
     def warm_calls_per_s(self) -> float:
-        """The calls a second that it can process when warm."""
+        """Calls per second that it can process when warm."""
         return self.workers * 1e6 / self.service_time_us
 
     @property
     def listed_calls_per_s(self) -> float:
-        """The calls a second that the register lists."""
+        """Calls per second that the register lists."""
         return self.weight or self.max_calls_per_s or self.warm_calls_per_s
 
 
@@ -98,7 +99,7 @@
     frozen=True,
     rename={"delay_us": "delay"},
 ):
-    """The stand-in register: where it listens, and after what delay it sends changes."""
+    """Stand-in register: its port, and the delay with which it sends changes."""
 
     port: Port
     delay_us: Micros = 200_000
@@ -109,7 +110,7 @@
     frozen=True,
     rename={"order_key_count": "keys"},
 ):
-    """A part of a client's messages: of a class, to a partner, with a share and a number of order keys."""
+    """Part of a client's messages: class, partner, share and number of distinct order keys."""
 
     message_class: Name
     partner: Name
@@ -128,7 +129,7 @@
         "max_connections": "connections",
     },
 ):
-    """A stand-in client program: messages a second, over which fronts, how often it retries."""
+    """Stand-in client program: its message rate, the forwarders it submits to and its number of retries."""
 
     name: Name
     messages_per_s: Annotated[float, Meta(gt=0.0, le=2000.0)]
@@ -188,21 +189,28 @@
         "affected_zone": "met_by",
     },
 ):
-    """Something that goes wrong at a time, for a time.
+    """Fault that starts ``start_us`` after the start of the messages and lasts ``duration_us``.
 
-    ``target``: a partner, endpoint, address, forwarder, client or zone, by its kind; ``magnitude`` by its
-    kind: a share of calls (errors, answer_lost), a multiple (slow, burst, throttle), microseconds of a pause.
+    ``target`` is the name of a partner, endpoint, address, forwarder, client or zone, depending on ``kind``.
+    ``magnitude`` depends on ``kind`` too: a share of the calls (``errors``, ``answer_lost``), a factor
+    (``slow``, ``burst``, ``throttle``) or microseconds (``pauses``).
 
-    An address refuses connections (``spot_refuse``), accepts them and sends nothing (mute), sends nothing
-    after MAIL (hang), or accepts messages and replies nothing (deaf).
+    ``spot_refuse``, ``spot_mute``, ``spot_hang``, ``spot_deaf``: an address refuses connections, accepts them
+    and sends nothing, sends nothing after MAIL, or accepts messages and never replies to them.
 
-    ``zone_down``: all endpoints in the zone fail by ``failure_mode``; for the forwarders of ``affected_zone``
-    alone, if given, and then always after MAIL. ``zone_cut``: endpoints there fail for the forwarders
-    elsewhere, those elsewhere for the forwarders there, and the links between these forwarders are cut.
-    ``machine_lost``: a forwarder is killed and what it saved is deleted; it starts again after
-    ``duration_us``. ``link_...``: the links between the forwarders that ``target`` names (by name or zone,
-    with commas between) and all others; one way is what they send; ``magnitude`` is a delay in milliseconds
-    (slow) or a share that is lost (lossy).
+    ``zone_down``: all endpoints in the zone fail by ``failure_mode``. With ``affected_zone`` they fail only
+    for the forwarders in that zone, and always by sending nothing after MAIL.
+
+    ``zone_cut``: endpoints in the zone fail for forwarders outside it, endpoints outside fail for forwarders
+    in the zone, and the links between these forwarders are cut.
+
+    ``machine_lost``: a forwarder is killed and its saved state is deleted; it starts again after
+    ``duration_us``.
+
+    ``link_cut``, ``link_one_way``, ``link_slow``, ``link_lossy``: the links between the forwarders in
+    ``target`` (names or zones, separated by commas) and all others fail; ``link_one_way`` cuts only the
+    direction in which those in ``target`` send. ``magnitude`` is a delay in milliseconds (``link_slow``) or
+    the share of the datagrams that is lost (``link_lossy``).
     """
 
     kind: FaultKind
@@ -220,7 +228,7 @@
     frozen=True,
     rename={"duration_us": "length", "completion_grace_us": "settle", "faults": "troubles"},
 ):
-    """One scenario: how long messages arrive, and within what time after that all are completed."""
+    """Scenario: messages arrive for ``duration_us``, and have ``completion_grace_us`` more to complete."""
 
     script_word: ClassVar[str] = "rehearsal"
     name: Name
@@ -237,7 +245,7 @@
         for client in self.clients:
             for traffic in client.traffic:
                 if traffic.partner not in partners:
-                    raise ValueError(f"client {client.name}: no partner {traffic.partner!r}")
+                    raise ValueError(f"client {client.name}: unknown partner {traffic.partner!r}")
         targets = self._list_fault_targets()
         for fault in self.faults:
             allowed = targets.get(fault.kind, partners)
@@ -245,7 +253,7 @@
                 raise ValueError(f"trouble {fault.kind}: there is no {fault.target!r}")
 
     def _list_fault_targets(self) -> Mapping[str, Collection[str] | None]:
-        """The targets that a fault may have, by kinds whose targets aren't partners; ``None`` for any."""
+        """Return the permitted targets by fault kind, ``None`` for any. Other kinds target partners."""
         endpoints = [endpoint for partner in self.partners for endpoint in partner.endpoints]
         endpoint_names = {endpoint.target for endpoint in endpoints}
         address_names = endpoint_names | {each.name for endpoint in endpoints for each in endpoint.addresses}
--- a/honeybarrow/rehearsal/stand_in_client.py
+++ b/honeybarrow/rehearsal/stand_in_client.py
@@ -1,4 +1,4 @@
-"""Stand-in clients: submit messages, wait for the final replies, and retry as client programs do."""
+"""Stand-in clients, which submit messages, wait for final replies and retry as client programs do."""
 
 from __future__ import annotations
 
@@ -17,23 +17,22 @@
 from honeybarrow.rehearsal.event_log import EventKind, EventLog
 from honeybarrow.rehearsal.schema import ClientConfig, TrafficConfig
 
-RETRY_DELAY_RANGE_US = (500_000, 1_200_000)  # after a rejection without advice
-OTHER_FORWARDER_DELAY_RANGE_US = (100_000, 400_000)  # after a forwarder could not be reached
-CONNECTION_LOSS_DELAY_RANGE_US = (620_000, 1_900_000)  # after a forwarder died with the message
-WINDOW_MARGIN_US = 1_000_000  # of an idempotency window, left unused when a message is submitted again
-
-MIN_TIME_LEFT_US = 10_000  # with less a message is not submitted again
+RETRY_DELAY_RANGE_US = (500_000, 1_200_000)  # after a rejection without a retry delay
+OTHER_FORWARDER_DELAY_RANGE_US = (100_000, 400_000)  # after a failed connection to a forwarder
+CONNECTION_LOSS_DELAY_RANGE_US = (620_000, 1_900_000)  # after a connection with a submitted message was lost
+WINDOW_MARGIN_US = 1_000_000  # retries stop this long before the idempotency window ends
+MIN_TIME_LEFT_US = 10_000  # a message with less time left is not submitted again
 
 
 @dataclass(slots=True)
 class TestMessage:
-    """A message of a client, over all its attempts. Times are on the rehearsal's clock.
+    """Message of a client with the state of its attempts. Times are on the rehearsal's clock.
 
-    ``announced_time_left_us`` is the time left that the message tells: a slow front does not see it pass.
-    ``forwarder_switches`` counts how often another forwarder was chosen than the one whose turn it was.
+    ``announced_time_left_us`` is the time left that the header of the latest attempt states.
+    ``forwarder_switches`` counts the retries that skipped to another forwarder after a lost connection.
     """
 
-    __test__ = False  # pytest is not to take it for a test
+    __test__ = False  # keeps pytest from collecting the class
 
     message_id: str
     traffic: TrafficConfig
@@ -46,7 +45,7 @@
 
 
 class SubmissionConnection(Protocol):
-    """One connection to a front; it carries one message after another."""
+    """Connection to a front, used for one message at a time."""
 
     transport: Any = None
 
@@ -56,7 +55,7 @@
         self.is_submitted = False
 
     def dataReceived(self, data: bytes) -> None:
-        """Read replies of the front."""
+        """Process replies of the front."""
         for event in self.session.receive(data):
             match event:
                 case mail.Ready():
@@ -73,14 +72,14 @@
                     self.transport.abortConnection()
         self.write_output()
 
-    def carry(self, message: TestMessage) -> None:
-        """Submit another message over this connection, which is idle."""
+    def submit_next(self, message: TestMessage) -> None:
+        """Submit another message over this idle connection."""
         self.message = message
         self.submit_message()
         self.write_output()
 
     def submit_message(self) -> None:
-        """Start to submit the message that the connection carries."""
+        """Submit the current message of the connection, if there is one."""
         message = self.message
         if message is None:
             return
@@ -90,7 +89,7 @@
         self.session.send(sender, mail.Path(traffic.message_class, traffic.partner), content)
 
     def write_output(self) -> None:
-        """Write what the session has to send, and record the submission once its end of data is out."""
+        """Write the output of the session; record the submission once the end of data was written."""
         if out := self.session.take_output():
             self.transport.write(out)
         if self.session.is_committed and not self.is_submitted and self.message is not None:
@@ -98,7 +97,7 @@
             self.client.record_submission(self.forwarder, self.message)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Tell the client."""
+        """Notify the client."""
         self.client.handle_connection_lost(self)
 
 
@@ -116,7 +115,7 @@
 
 
 class StandInClient:
-    """One client program: messages arrive by a Poisson process, drawn independently of the replies."""
+    """Client program. Messages arrive by a Poisson process that does not depend on the replies."""
 
     def __init__(
         self,
@@ -130,7 +129,7 @@
         self.config, self.classes, self.find_front = config, classes, find_front
         self.reactor, self.event_log, self.rng = reactor, event_log, rng
         self.idle_connections: dict[str, list[SubmissionConnection]] = {}
-        self.unfinished_messages = 0  # without a last reply
+        self.unfinished_messages = 0
         self.connection_count = 0
         self.message_count = 0
         self.rate_factor = 1.0
@@ -138,11 +137,11 @@
         self.waiting_messages: list[tuple[TestMessage, str]] = []
 
     def set_rate_factor(self, rate_factor: float) -> None:
-        """Multiply the configured rate of messages from the next arrival on."""
+        """Set the factor on the configured message rate, from the next arrival on."""
         self.rate_factor = rate_factor
 
     def start(self, duration_us: int) -> None:
-        """Let messages arrive from now on, for so long."""
+        """Create messages from now on, for ``duration_us``."""
         self.arrivals_end_us = self.event_log.now_us() + duration_us
         self._schedule_arrival()
 
@@ -181,7 +180,7 @@
         self._schedule_arrival()
 
     def build_content(self, message: TestMessage) -> bytes:
-        """Build the headers and the body of a message, with the time that it has left now."""
+        """Return the headers and the body of a message, with the time left at present."""
         time_left_ms = max(0, message.deadline_us - self.event_log.now_us()) // 1000
         message.announced_time_left_us = time_left_ms * 1000
         lines = [
@@ -198,19 +197,19 @@
         text = "\r\n".join([*lines, "", ""]) + body * (size // len(body) + 1)
         return text.encode("ascii")
 
-    # submission
+    # Submission
 
     def _send(self, message: TestMessage) -> None:
         names = self.config.forwarders
         if message.order_key:
-            # messages of one order key go to one forwarder while it runs
+            # Messages with the same order key go to the same forwarder while it runs.
             first = zlib.crc32(message.order_key.encode())
         else:
             first = self.message_count + message.attempts
         forwarder = names[(first + message.forwarder_switches) % len(names)]
         idle = self.idle_connections.get(forwarder)
         if idle:
-            idle.pop().carry(message)
+            idle.pop().submit_next(message)
         elif self.connection_count < self.config.max_connections:
             self._connect(message, forwarder)
         else:
@@ -224,16 +223,16 @@
         )
 
     def handle_idle(self, connection: SubmissionConnection) -> None:
-        """Give a connection that is idle the next message that waits for its forwarder, or keep it."""
+        """Submit the next message waiting for the forwarder of an idle connection, or keep the connection."""
         for index, (message, forwarder) in enumerate(self.waiting_messages):
             if forwarder == connection.forwarder:
                 del self.waiting_messages[index]
-                connection.carry(message)
+                connection.submit_next(message)
                 return
         self.idle_connections.setdefault(connection.forwarder, []).append(connection)
 
     def record_submission(self, forwarder: str, message: TestMessage) -> None:
-        """Record that a message was submitted whole."""
+        """Record that a message was submitted completely."""
         message.attempts += 1
         self.event_log.record(
             self.config.name,
@@ -249,9 +248,9 @@
     def handle_reply(
         self, connection: SubmissionConnection, message: TestMessage, reply: mail.Reply, is_final: bool
     ) -> None:
-        """Finish a message by its reply, or retry it as the reply tells.
+        """Finish a message, or retry it if the reply permits that.
 
-        ``is_final``: whether it replies to the whole message, not to an earlier command.
+        ``is_final`` is true for the reply to the message itself and false for replies to earlier commands.
         """
         self.event_log.record(
             self.config.name,
@@ -274,7 +273,7 @@
             self.unfinished_messages -= 1
 
     def handle_connection_lost(self, connection: SubmissionConnection) -> None:
-        """Retry what a connection carried when it ended: it was not accepted, or nobody knows."""
+        """Retry the message of a lost connection, if its class permits that."""
         self.connection_count -= 1
         idle = self.idle_connections.get(connection.forwarder, [])
         if connection in idle:
@@ -310,7 +309,7 @@
         self.reactor.callLater(delay_us / 1e6, self._send, message)
 
     def close_idle_connections(self) -> None:
-        """Close the connections that carry nothing."""
+        """Close the idle connections."""
         for idle in self.idle_connections.values():
             for connection in list(idle):
                 connection.transport.loseConnection()
--- a/honeybarrow/rehearsal/stand_in_environment.py
+++ b/honeybarrow/rehearsal/stand_in_environment.py
@@ -1,4 +1,4 @@
-"""The stand-in partners and the stand-in register of a scenario, and the faults that strike them."""
+"""Stand-in partners and stand-in register of a scenario, and the injection of faults into them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class StandInEnvironment:
-    """The partners and the register of a scenario, listening from the start."""
+    """Partners and register of a scenario. They listen as soon as the object is created."""
 
     def __init__(
         self,
@@ -37,16 +37,16 @@
 
     @property
     def register_port(self) -> int:
-        """The port that the register listens at."""
+        """Port on which the register listens."""
         return int(self.listeners[-1].getHost().port)
 
     def stop(self) -> None:
-        """Stop listening."""
+        """Stop all listeners."""
         for port in self.listeners:
             port.stopListening()
 
     def start_fault(self, fault: Fault) -> None:
-        """Start a fault of partners or the register; it ends by itself."""
+        """Start a fault of a partner, zone or the register; it ends after its duration."""
         match fault.kind:
             case "register_down" | "register_bad" | "register_stale":
                 self._fail_register(fault)
@@ -68,7 +68,7 @@
                 server.start_fault(fault.kind, fault.magnitude, fault.duration_us, fault.message_class)
 
     def cut_zone(self, fault: Fault) -> None:
-        """Cut a zone off: its endpoints fail for forwarders elsewhere, and the others for its forwarders."""
+        """Cut a zone off: endpoints and forwarders can't reach each other across its border."""
         self._record_zone_fault(fault)
         inside = [name for name, zone in self.forwarder_zones.items() if is_within(zone, fault.target)]
         for server, endpoint in self._endpoints():
@@ -105,7 +105,7 @@
         self.reactor.callLater(fault.duration_us / 1e6, set_failing, False)
 
     def _record_zone_fault(self, fault: Fault) -> None:
-        """Tell the rule checker that a zone fails for everybody from now on."""
+        """Record the outage of a zone if it affects all forwarders."""
         if not fault.affected_zone:
             self.event_log.record(fault.target, EventKind.ZONE_FAULT, kind=fault.kind, last=fault.duration_us)
 
@@ -127,5 +127,5 @@
 
 
 def find_zone(forwarder: ForwarderConfig) -> str:
-    """Find the zone of a forwarder, as its fleet knows it."""
+    """Return the zone of a forwarder, preferring that of its fleet settings."""
     return (forwarder.fleet.zone if forwarder.fleet else "") or forwarder.zone
--- a/honeybarrow/rehearsal/stand_in_register.py
+++ b/honeybarrow/rehearsal/stand_in_register.py
@@ -1,4 +1,4 @@
-"""The stand-in register: sends the list of partners and their endpoints, late, and fails on command."""
+"""Stand-in register: sends the list of partners and endpoints with a delay, and can be made to fail."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 
 from honeybarrow.ports import Clock
 from honeybarrow.register import EndpointAddress, EndpointEntry, ListRequest, ListUpdate
-from honeybarrow.register import Partner as Listed
+from honeybarrow.register import Partner as ListedPartner
 from honeybarrow.rehearsal.event_log import EventKind, EventLog
 from honeybarrow.rehearsal.schema import EndpointConfig, PartnerConfig, RegisterConfig
 
-REGISTER_NAME = "register"  # in the event log
+REGISTER_NAME = "register"  # source of its entries in the event log
 
 
 class StandInRegister:
-    """The list of partners, its versions, and the forwarders that have subscribed."""
+    """List of partners with its version, and the connections of the subscribed forwarders."""
 
     def __init__(self, config: RegisterConfig, clock: Clock, event_log: EventLog) -> None:
         self.config, self.clock, self.event_log = config, clock, event_log
         self.version = 1
-        self.partners: list[Listed] = []
+        self.partners: list[ListedPartner] = []
         self.rows: dict[str, EndpointEntry] = {}
         self.changed_in_version: dict[str, int] = {}
         self.connections: list[RegisterConnection] = []
         self.is_down = False
         self.is_malformed = False
-        self.is_stale = False  # sends a list of long ago, as after it was restored from an old backup
+        self.is_stale = False  # sends an old list, as after a restore from an old backup
 
     def add_partner(self, partner: PartnerConfig, ports: dict[str, int]) -> None:
-        """Put a partner on the list, with the ports that its endpoints got."""
-        self.partners.append(Listed(number=partner.destination, name=partner.name, kind=partner.kind))
+        """Add a partner to the list. ``ports`` maps its endpoints to the ports on which they listen."""
+        self.partners.append(ListedPartner(number=partner.destination, name=partner.name, kind=partner.kind))
         for endpoint in partner.endpoints:
             if endpoint.is_listed:
                 self.update_endpoint(partner, endpoint, ports[endpoint.target], "ready")
@@ -42,7 +42,7 @@
     def update_endpoint(
         self, partner: PartnerConfig, endpoint: EndpointConfig, port: int, state: Any
     ) -> None:
-        """Change an endpoint's row; subscribers get it after the configured delay."""
+        """Change the entry of an endpoint; subscribers receive it after the configured delay."""
         self.version += 1
         own_address = EndpointAddress(host="127.0.0.1", port=port, protocol=endpoint.protocol)
         other_addresses = [
@@ -68,7 +68,7 @@
         self.clock.callLater(self.config.delay_us / 1e6, self._notify_subscribers)
 
     def set_down(self, is_down: bool) -> None:
-        """Make it unreachable, or reachable again: subscriptions break and connections end."""
+        """Make the register unreachable, which aborts all connections, or reachable again."""
         self.is_down = is_down
         self.event_log.record(REGISTER_NAME, EventKind.REGISTER_DOWN, on=is_down)
         if is_down:
@@ -76,15 +76,15 @@
                 connection.transport.abortConnection()
 
     def set_malformed(self, is_malformed: bool) -> None:
-        """Make it send updates that can't be read, or whole ones again."""
+        """Make the register send malformed updates, or valid ones again."""
         self.is_malformed = is_malformed
 
     def set_stale(self, is_stale: bool) -> None:
-        """Make it send a list of long ago, or the present one again."""
+        """Make the register send an old list, or the current one again."""
         self.is_stale = is_stale
 
     def make_update(self, since: int) -> ListUpdate:
-        """Make the update for a forwarder that has this version."""
+        """Return the update for a forwarder whose list has version ``since``, 0 for none."""
         is_full = since == 0 or since > self.version
         rows = [
             row for target, row in self.rows.items() if is_full or self.changed_in_version[target] > since
@@ -103,7 +103,7 @@
 
 
 class RegisterConnection(LineOnlyReceiver):
-    """One forwarder's subscription."""
+    """Connection of a subscribed forwarder."""
 
     delimiter = b"\n"
     transport: Any = None
@@ -121,12 +121,12 @@
         self.register.connections.append(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Forget the subscription."""
+        """Remove the subscription."""
         if self in self.register.connections:
             self.register.connections.remove(self)
 
     def lineReceived(self, line: bytes) -> None:
-        """Read a subscription, and answer it after the configured delay."""
+        """Read a subscription request and answer it after the configured delay."""
         try:
             request = msgspec.json.decode(line, type=ListRequest)
         except msgspec.DecodeError:
@@ -136,7 +136,7 @@
         self.register.clock.callLater(self.register.config.delay_us / 1e6, self.send_update)
 
     def send_update(self) -> None:
-        """Send the changes that this forwarder lacks, or what a fault makes of them."""
+        """Send the changes since the forwarder's version, or what an active fault replaces them by."""
         register = self.register
         if self not in register.connections or self.known_version is None:
             return
@@ -161,7 +161,7 @@
 
 
 class RegisterConnectionFactory(Factory):
-    """Makes the connections of the register."""
+    """Factory for the connections of the register."""
 
     noisy = False
 
@@ -169,5 +169,5 @@
         self.register = register
 
     def buildProtocol(self, addr: Any) -> RegisterConnection:
-        """Make the connection of a forwarder."""
+        """Return the protocol for a new connection."""
         return RegisterConnection(self.register)
--- a/honeybarrow/rehearsal/stand_in_server.py
+++ b/honeybarrow/rehearsal/stand_in_server.py
@@ -1,4 +1,4 @@
-"""Stand-in partners: SMTP and LMTP servers that behave as partners do, and misbehave on command."""
+"""Stand-in partners: SMTP and LMTP servers with rate limits, limited capacity and injected faults."""
 
 from __future__ import annotations
 
@@ -23,17 +23,18 @@
 TOO_MANY_CONNECTIONS_REPLY = Reply(421, "4.3.2", "too many connections")
 UNKNOWN_RECIPIENT_REPLY = Reply(550, "5.1.1", "not a recipient of ours")
 COOLING_FAULTS = frozenset({"refuse", "shut", "hang", "silent"})  # a partner warms up again after these
-MIN_CAPACITY_SHARE = 0.05  # for processing times, which would have no bound otherwise
-INITIAL_TOKENS_S, MAX_TOKENS_S = 0.2, 0.4  # of the token bucket, in seconds of the partner's rate
-COLLAPSE_MARGIN = 3  # calls over its budget that a partner that warms up bears
+MIN_CAPACITY_SHARE = 0.05  # bounds the processing time of a cold partner
+INITIAL_TOKENS_S, MAX_TOKENS_S = 0.2, 0.4  # tokens in the bucket, in seconds of the partner's rate
+COLLAPSE_MARGIN = 3  # calls above its budget that a partner tolerates while it warms up
 
 
 @dataclass(frozen=True, slots=True)
 class WarmUpConfig:
-    """How a partner's capacity returns after an outage, and what overload makes it collapse meanwhile.
+    """Recovery of a partner's capacity after an outage, and the overload at which it collapses meanwhile.
 
-    ``start_capacity`` is a share of the full one. A partner collapses if calls within ``collapse_window_us``
-    exceed ``collapse_multiple`` times what it can process in it.
+    Capacity grows from ``start_capacity``, a share of the full one, over ``warm_up_us``. The partner
+    collapses if the calls within ``collapse_window_us`` exceed ``collapse_multiple`` times its capacity in
+    that window.
     """
 
     start_capacity: float = 0.2
@@ -43,14 +44,14 @@
 
 
 class ActiveFault(NamedTuple):
-    """A fault that is on: its magnitude, and the message class that it is limited to, if any."""
+    """Fault in effect: its magnitude, and the message class to which it is limited, if any."""
 
     magnitude: float = 0.0
     message_class: str = ""
 
 
 class QueuedMessage(NamedTuple):
-    """A message that waits for a worker, and when the partner accepted it."""
+    """Message that waits for a worker, and the time of its acceptance."""
 
     session: StandInSession
     message: mail.Message
@@ -58,9 +59,10 @@
 
 
 class StandInServer:
-    """One partner: its rate limit, its workers, what it has processed, and the faults that are on.
+    """Stand-in partner: its rate limit, workers, executed messages and active faults.
 
-    ``idempotency_windows_us``: for how long message ids of a class with idempotency keys are remembered.
+    ``idempotency_windows_us`` maps message classes with idempotency keys to the time in which the partner
+    drops duplicates of a message.
     """
 
     def __init__(
@@ -75,8 +77,8 @@
         self.config, self.clock, self.event_log, self.rng = config, clock, event_log, rng
         self.idempotency_windows_us, self.warm_up = idempotency_windows_us, warm_up
         self.active_faults: dict[str, ActiveFault] = {}
-        self.address_faults: dict[str, str] = {}  # kinds of faults of single addresses, by name
-        self.blocked_forwarders: dict[str, tuple[str, ...]] = {}  # that an endpoint hangs for, by its name
+        self.address_faults: dict[str, str] = {}  # kinds of the faults, by address name
+        self.blocked_forwarders: dict[str, tuple[str, ...]] = {}  # by endpoint name
         self.busy_workers = 0
         self.queue: deque[QueuedMessage] = deque()
         self.tokens, self.tokens_updated_us = (
@@ -86,23 +88,23 @@
         self.window_calls, self.window_start_us = 0, self.now_us()
         self.reopens_us = 0  # when a fault of kind "shut" ends
         self.recovered_us = -(1 << 60)
-        self.executed_us: dict[str, int] = {}  # when the message was accepted that was executed, by its id
-        self.calls_since_recovery_us: deque[int] = deque()  # while it warms up
+        self.executed_us: dict[str, int] = {}  # acceptance times of executed messages, by id
+        self.calls_since_recovery_us: deque[int] = deque()  # times of recent calls during the warm-up
         self.has_collapsed = False
         self.sessions: list[StandInSession] = []
 
     def now_us(self) -> int:
-        """The present time on the rehearsal's clock."""
+        """Return the current time on the rehearsal's clock."""
         return self.event_log.now_us()
 
-    # faults
+    # Faults
 
     def fault_magnitude(self, kind: str) -> float:
-        """The magnitude of a fault that is on, or 0."""
+        """Return the magnitude of an active fault, or 0 if it is not active."""
         return self.active_faults.get(kind, ActiveFault()).magnitude
 
     def start_fault(self, kind: str, magnitude: float, duration_us: int, message_class: str = "") -> None:
-        """Start a fault; it ends by itself."""
+        """Start a fault. It ends after ``duration_us``, or not by itself if that is 0."""
         self.active_faults[kind] = ActiveFault(magnitude, message_class)
         self.event_log.record(self.config.name, EventKind.FAULT, kind=kind, on=True, last=duration_us)
         if kind == "shut":
@@ -113,31 +115,31 @@
         if kind == "idle_drop":
             for session in list(self.sessions):
                 if session.is_idle:
-                    session.is_unresponsive = True  # its peer learns nothing of it
+                    session.is_unresponsive = True  # without a notification of the peer
         if duration_us:
             self.clock.callLater(duration_us / 1e6, self.end_fault, kind)
 
     def start_address_fault(self, name: str, kind: str, duration_us: int) -> None:
-        """Let one address of an endpoint fail; the others do not."""
+        """Let a single address of an endpoint fail."""
         self.address_faults[name] = kind
         self.event_log.record(self.config.name, EventKind.ADDRESS_FAULT, spot=name, kind=kind, on=True)
         self.clock.callLater(duration_us / 1e6, self.address_faults.pop, name, None)
 
     def start_address_outage(self, name: str, failure_mode: str, duration_us: int) -> None:
-        """As :meth:`start_address_fault`, and the connections that are open there fail with it."""
+        """Let an address fail as in :meth:`start_address_fault`, along with its open connections."""
         self.start_address_fault(name, f"spot_{failure_mode}", duration_us)
         if failure_mode != "deaf":
             for session in [each for each in self.sessions if each.address_name == name]:
                 session.apply_outage(failure_mode)
 
     def block_forwarders(self, name: str, forwarders: tuple[str, ...], duration_us: int) -> None:
-        """Let an endpoint send nothing after MAIL to these forwarders: the link from there fails."""
+        """Let an endpoint send nothing after MAIL to ``forwarders``, as if the link to them failed."""
         self.blocked_forwarders[name] = forwarders
         self.event_log.record(self.config.name, EventKind.ADDRESS_FAULT, spot=name, kind="way", on=True)
         self.clock.callLater(duration_us / 1e6, self.blocked_forwarders.pop, name, None)
 
     def end_fault(self, kind: str) -> None:
-        """End a fault; after an outage the partner warms up."""
+        """End a fault. After an outage the partner starts to warm up."""
         self.active_faults.pop(kind, None)
         is_cold = kind in COOLING_FAULTS
         if is_cold:
@@ -148,17 +150,20 @@
             for session in list(self.sessions):
                 session.transport.abortConnection()
 
-    # admission
+    # Admission
 
     @property
     def capacity_share(self) -> float:
-        """The share of its full capacity that the partner has now."""
+        """Current share of the partner's full capacity."""
         since_recovery_us = self.now_us() - self.recovered_us
         start = self.warm_up.start_capacity
         return min(1.0, start + (1.0 - start) * since_recovery_us / max(1, self.warm_up.warm_up_us))
 
     def admit_call(self) -> Reply | None:
-        """Admit a call, or say why it is rejected. Rejected calls count towards a collapse too."""
+        """Admit a call and return ``None``, or return the reply that rejects it.
+
+        Rejected calls count towards a collapse too.
+        """
         self._check_collapse()
         if self.has_collapsed:
             return self._make_over_limit_reply(0)
@@ -172,14 +177,17 @@
         return self._admit_by_tokens(rate)
 
     def measure_load(self) -> tuple[float, ...]:
-        """x0, the share of the limit that is left, and x1, the limit; nothing where there is none."""
+        """Return the load report ``(x0, x1)``: unused share of the limit, and the limit in calls per second.
+
+        The report is empty for a partner without a limit, or with one that counts calls in windows.
+        """
         rate = self.config.max_calls_per_s * (self.fault_magnitude("throttle") or 1.0)
         if not rate or self.config.rate_window_us:
             return ()
         return (round(min(1.0, max(0.0, self.tokens / max(1.0, rate * MAX_TOKENS_S))), 3), rate)
 
     def _check_collapse(self) -> None:
-        """Count a call of a partner that warms up, which collapses if there are too many."""
+        """Count a call during the warm-up; collapse if there are too many."""
         if self.capacity_share >= 1.0 or self.has_collapsed:
             return
         now_us, window_us = self.now_us(), self.warm_up.collapse_window_us
@@ -218,10 +226,10 @@
         retry_after_ms = -(-retry_after_us // 1000) if is_announced else 0
         return Reply(451, "4.3.2", "above the limit", wait_ms=retry_after_ms, load=self.measure_load())
 
-    # processing
+    # Processing
 
     def accept_message(self, session: StandInSession, message: mail.Message) -> None:
-        """Process a whole message, queue it or reject it."""
+        """Process a message, queue it, or reject it if the queue is full."""
         if self.busy_workers < self.config.workers:
             self._start_processing(session, message, self.now_us())
         elif len(self.queue) < self.config.queue_capacity:
@@ -248,7 +256,7 @@
         if class_fails or self.rng.random() < self.fault_magnitude("errors"):
             session.send_reply(ERROR_REPLY)
             return
-        # Nothing is answered while it is silent, not even that a message was accepted before.
+        # A silent partner does not reply to duplicates either.
         address_fault = self.address_faults.get(session.address_name)
         is_silent = bool(self.fault_magnitude("silent")) or address_fault == "spot_deaf"
         if self._is_duplicate(message_id, message_class, accepted_us):
@@ -278,8 +286,7 @@
             )
 
     def _is_duplicate(self, message_id: str, message_class: str, accepted_us: int) -> bool:
-        # A window counts from acceptance to acceptance: how long a message then lay in a queue is not the
-        # sender's to know.
+        # The window is measured between acceptances, since a sender can't know how long a message was queued.
         window_us = self.idempotency_windows_us.get(message_class, 0)
         if not window_us or message_id not in self.executed_us:
             return False
@@ -287,7 +294,7 @@
 
 
 class StandInSession(Protocol):
-    """One connection to an endpoint of a stand-in partner."""
+    """Connection to an endpoint of a stand-in partner."""
 
     transport: Any = None
 
@@ -302,11 +309,11 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether it is a kept-alive connection: it has carried calls, and carries none now."""
+        """Whether the connection is kept alive between two calls."""
         return not self.has_open_call and self.call_count > 0
 
     def record(self, event_kind: EventKind, **fields: Any) -> None:
-        """Record an event of this connection."""
+        """Record an event of this connection in the event log."""
         self.server.event_log.record(
             self.server.config.name,
             event_kind,
@@ -317,7 +324,7 @@
         )
 
     def connectionMade(self) -> None:
-        """Greet the forwarder, unless a fault or the limit of connections is in the way."""
+        """Greet the forwarder, unless a fault or the limit of connections prevents it."""
         server = self.server
         self.began_us = server.now_us()
         server.sessions.append(self)
@@ -336,7 +343,7 @@
             self._process_events()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Record what was lost with the connection."""
+        """Record the lost call, or that the forwarder abandoned an unresponsive connection."""
         self.server.sessions.remove(self)
         if self.has_open_call:
             self.has_open_call = False
@@ -345,7 +352,7 @@
             self.record(EventKind.CONNECTION_ABANDONED)
 
     def apply_outage(self, failure_mode: str) -> None:
-        """Let an outage that begins take this connection with it."""
+        """Apply an outage that begins now: reset the connection or stop responding."""
         if failure_mode == "refuse":
             self.abort()
         else:
@@ -357,7 +364,7 @@
         self.transport.abortConnection()
 
     def send_reply(self, reply: Reply) -> None:
-        """Send the reply to the message, if its call is still open."""
+        """Send the reply to a message, if its call is still open."""
         is_closed = self.protocol_session.state is mail.State.CLOSED
         if self.is_unresponsive or is_closed or not self.has_open_call:
             return
@@ -367,7 +374,7 @@
         self._process_events()
 
     def dataReceived(self, data: bytes) -> None:
-        """Read bytes of the forwarder."""
+        """Process data from the forwarder."""
         if self.is_unresponsive:
             if not self.has_open_call and b"MAIL FROM" in data:
                 self.record(EventKind.CALL_UNHEARD, began=self.began_us)
@@ -392,7 +399,7 @@
 
     def _start_call(self) -> None:
         self.message_id = ""
-        # a call on a new connection began when the connection was asked for
+        # The first call of a connection began when the connection was opened.
         self.began_us = self.server.now_us() if self.call_count else self.began_us
         self.call_count += 1
         self.has_open_call = True
@@ -431,7 +438,7 @@
 
 
 class StandInSessionFactory(Factory):
-    """Makes the sessions of one address of an endpoint."""
+    """Factory for the sessions of one address of an endpoint."""
 
     noisy = False
 
@@ -439,20 +446,20 @@
         self.server, self.endpoint, self.address_name = server, endpoint, address_name
 
     def buildProtocol(self, addr: Any) -> StandInSession:
-        """Make the session of a connection that was accepted."""
+        """Return the session for a new connection."""
         return StandInSession(self.server, self.endpoint, self.address_name)
 
 
 @dataclass(frozen=True, slots=True)
 class OpenEndpoints:
-    """The ports of a partner's endpoints by name, and the listeners of all their addresses."""
+    """Ports of a partner's endpoints by name, and the listeners of all their addresses."""
 
     ports: dict[str, int]
     listeners: list[Any]
 
 
 def listen_on_endpoints(reactor: Reactor, server: StandInServer) -> OpenEndpoints:
-    """Listen at every address of a partner, on loopback."""
+    """Listen at all addresses of a partner."""
     ports, listeners = {}, []
     for endpoint in server.config.endpoints:
         own_factory = StandInSessionFactory(server, endpoint, endpoint.target)
--- a/honeybarrow/rehearsal/submissions.py
+++ b/honeybarrow/rehearsal/submissions.py
@@ -1,4 +1,4 @@
-"""The submissions of a run, read from its event log, and the figures that they add up to."""
+"""Submissions of a run, collected from its event log, and the figures computed from them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class Submission:
-    """One submission of a message to a forwarder; times in microseconds, ``NEVER`` if it didn't happen."""
+    """Submission of a message to a forwarder; times in microseconds, ``NEVER`` if it did not happen."""
 
     message: str
     message_class: MessageClassConfig
@@ -32,17 +32,17 @@
     replied_us: int = NEVER
     reply_code: int = 0
     connection_lost_us: int = NEVER
-    resubmitted_us: int = NEVER  # the next submission of this message
+    resubmitted_us: int = NEVER  # time of the next submission of this message
 
     @property
     def ended_us(self) -> int:
-        """When the client had a reply or lost the connection."""
+        """Time at which the client received a reply or lost the connection."""
         return min(self.replied_us, self.connection_lost_us)
 
 
 @dataclass(frozen=True, slots=True)
 class CollectedSubmissions:
-    """All submissions in order, and the messages that got a final reply that none of them waited for."""
+    """All submissions in order of time, and the ids of messages with an unexpected final reply."""
 
     submissions: list[Submission]
     unexpected_replies: list[str]
@@ -51,7 +51,7 @@
 def collect_submissions(
     entries: Iterable[EventLogEntry], classes: Mapping[str, MessageClassConfig]
 ) -> CollectedSubmissions:
-    """Collect the submissions from entries that are sorted by time."""
+    """Return the submissions found in ``entries``, which are sorted by time."""
     latest: dict[str, Submission] = {}
     collected = CollectedSubmissions([], [])
     for entry in entries:
@@ -86,7 +86,7 @@
     submissions: Sequence[Submission],
     forwarder: ForwarderConfig,
 ) -> None:
-    """Compute the counts and the figures of each message class into a result."""
+    """Add the counts and the figures of each message class to ``result``."""
     for entry in entries:
         result.counts[entry.kind] += 1
     result.counts[SUBMISSIONS] = len(submissions)
@@ -111,7 +111,7 @@
 
 
 def compute_utility_at(message_class: MessageClassConfig, age_us: int, decay: str) -> float:
-    """Compute the utility of a message that is delivered at this age, from 1 down to its late utility."""
+    """Return the utility of a message delivered at this age, between 1 and the class's late utility."""
     objective_us, late_utility = message_class.latency_objective_us, message_class.late_utility
     if age_us <= objective_us:
         return 1.0
--- a/honeybarrow/rehearsal/zone_outages.py
+++ b/honeybarrow/rehearsal/zone_outages.py
@@ -1,4 +1,4 @@
-"""What became of zones that failed: read from what the stand-ins carried, nothing of the forwarders'."""
+"""Measurements of zone outages, taken from the stand-ins' event log alone."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from honeybarrow.rehearsal.schema import Scenario
 
 SECOND_US = 1_000_000
-DETECTABLE_AFTER_US = 3 * SECOND_US  # by then members that exchange evidence could know
-BASELINE_US = 5 * SECOND_US  # before an outage, in which the usual load of a zone is measured
-SAMPLE_STEP_US = SECOND_US // 4  # between two measures of the load as a zone returns
-SAMPLE_WINDOW_US = SECOND_US // 2  # over which each is taken
+DETECTABLE_AFTER_US = 3 * SECOND_US  # time in which a fleet can detect an outage
+BASELINE_US = 5 * SECOND_US  # time before an outage in which the usual load is measured
+SAMPLE_STEP_US = SECOND_US // 4  # interval between samples of the load after an outage
+SAMPLE_WINDOW_US = SECOND_US // 2  # length of a sample
 LOST_CALL_KINDS = frozenset(
     {
         EventKind.CALL_UNHEARD,
@@ -28,12 +28,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneOutage:
-    """An outage of a zone and its return; times in microseconds.
+    """Outage of a zone and the recovery after it; times in microseconds.
 
-    ``lost_calls`` came to nothing there during the outage; ``late_lost_calls`` are those of them that ended
-    when a fleet could long know. ``max_overload`` is the greatest load after the return, as a multiple of
-    what a zone that warms up bears of its usual one. ``half_load_after_us`` counts from the return until the
-    zone carries half of its usual load; -1 for never.
+    ``lost_calls`` counts the calls to the zone that were lost during the outage, ``late_lost_calls`` those
+    of them lost ``DETECTABLE_AFTER_US`` or more after its start. ``max_overload`` is the highest load after
+    the outage, divided by the part of the usual load that the zone can carry while it warms up.
+    ``half_load_after_us`` is the time from the end of the outage until the zone carries half of its usual
+    load, or -1 if it never does.
     """
 
     zone: str
@@ -50,7 +51,7 @@
 def find_zone_outages(
     entries: Sequence[EventLogEntry], scenario: Scenario, rules: PolicyConfig
 ) -> list[ZoneOutage]:
-    """Find each outage of a zone, in the order of the entries, which are sorted by time."""
+    """Return the outages of zones, in the order of ``entries``, which are sorted by time."""
     return [
         _measure_outage(entry, entries, scenario, rules)
         for entry in entries
@@ -76,8 +77,8 @@
     for at_us in range(end_us, entries[-1].at_us - SAMPLE_WINDOW_US, SAMPLE_STEP_US):
         load = _count_between(calls_us, at_us, at_us + SAMPLE_WINDOW_US) * SECOND_US / SAMPLE_WINDOW_US
         since_return = (at_us - end_us) / max(1, rules.warm_up_us)
-        bearable = usual * min(1.0, rules.start_capacity + (1.0 - rules.start_capacity) * since_return)
-        max_overload = max(max_overload, load / bearable if bearable else 0.0)
+        sustainable = usual * min(1.0, rules.start_capacity + (1.0 - rules.start_capacity) * since_return)
+        max_overload = max(max_overload, load / sustainable if sustainable else 0.0)
         if half_load_after_us < 0 and load >= usual / 2:
             half_load_after_us = at_us - end_us
     return ZoneOutage(
@@ -98,7 +99,7 @@
 
 
 def format_zone_outages(outages: Sequence[ZoneOutage]) -> list[str]:
-    """Format outages as lines of a report for people."""
+    """Return outages as lines of the printed report."""
     lines = []
     for each in outages:
         half = f"{each.half_load_after_us / SECOND_US:.1f} s" if each.half_load_after_us >= 0 else "never"
