--- a/benchmarks/addresses.py
+++ b/benchmarks/addresses.py
@@ -1,11 +1,11 @@
-"""Endpoints with four addresses, a third of the addresses broken in one way: what arrives, and how soon.
+"""Benchmark of address selection: endpoints with four addresses, a third of which have the same fault.
 
     python -m benchmarks.addresses [--messages 1000] [--rate 100] [--ways hole mute ...] [--policies ...]
 
-One forwarder core (policy, connection pool, addresses) in one process, 50 stand-in endpoints in another, on
-IPv4, IPv6 and Unix sockets. All messages are non-idempotent: the stand-ins count how often each one ran.
-Besides the build two baselines play the same days: addresses in the listed order one after another, and two
-connects at once.
+One process runs the core of a forwarder (policy, connection pool, addresses), another one 50 stand-in
+endpoints on IPv4, IPv6 and Unix sockets. All messages are non-idempotent; the stand-ins count the executions
+of each one. Two baselines run on the same input: "sequential" tries addresses in the listed order, "racing"
+always connects to two of them at once.
 """
 
 from __future__ import annotations
@@ -38,151 +38,160 @@
 from honeybarrow.settings import DestinationKind, Idempotency, MessageClass, Settings
 
 reactor = get_reactor()
-WAYS = ("healthy", "refuse", "hole", "mute", "hello", "mail", "data", "dot", "cut", "flap", "full")
+FAULT_MODES = ("healthy", "refuse", "hole", "mute", "hello", "mail", "data", "dot", "cut", "flap", "full")
 SERVICE_S = 0.02
-AIM_S, DEADLINE_S = 2.0, 8.0
+OBJECTIVE_S, DEADLINE_S = 2.0, 8.0
 
 
-class Server(Protocol):
-    """A stand-in's side of a session, broken in one way."""
+class StandInSession(Protocol):
+    """Server side of a session, with one kind of fault."""
 
     transport: Any = None
 
-    def __init__(self, stand: Stand, way: str) -> None:
-        self.stand, self.way = stand, way
-        self.session = mail.ServerSession(stand.name)
+    def __init__(self, endpoint: StandInEndpoint, fault_mode: str) -> None:
+        self.endpoint, self.fault_mode = endpoint, fault_mode
+        self.session = mail.ServerSession(endpoint.name)
 
     def connectionMade(self) -> None:
-        self.stand.counts["connects"] += 1
-        if self.way == "flap":  # away in each second second
-            self.way = "refuse" if int(time.monotonic()) % 2 else "healthy"
-        if self.way == "refuse":
+        self.endpoint.counts["connects"] += 1
+        if self.fault_mode == "flap":  # refuses connections in every other second
+            self.fault_mode = "refuse" if int(time.monotonic()) % 2 else "healthy"
+        if self.fault_mode == "refuse":
             self.transport.abortConnection()
-        elif self.way == "full":
+        elif self.fault_mode == "full":
             self.session.refuse(Reply(421, "4.3.2", "too many connections"))
             self.transport.write(self.session.take_output())
             self.transport.loseConnection()
-        elif self.way != "mute":
+        elif self.fault_mode != "mute":
             self.session.greet()
             self.transport.write(self.session.take_output())
 
     def dataReceived(self, data: bytes) -> None:
-        if self.way == "mute" or self.session.state is mail.State.CLOSED:
+        if self.fault_mode == "mute" or self.session.state is mail.State.CLOSED:
             return
         self.session.receive(data)
-        self.work()
+        self.process_events()
 
-    def work(self) -> None:
+    def process_events(self) -> None:
         while (event := self.session.next_event()) is not None:
             if isinstance(event, mail.Sender):
-                self.stand.counts["transactions"] += 1
-                if self.way == "mail":
+                self.endpoint.counts["transactions"] += 1
+                if self.fault_mode == "mail":
                     return
                 self.session.answer(Reply(250, "2.1.0", "ok"))
             elif isinstance(event, mail.Recipient):
-                if self.way == "data":
+                if self.fault_mode == "data":
                     return
-                if self.way == "cut":
+                if self.fault_mode == "cut":
                     self.transport.abortConnection()
                     return
                 self.session.answer(Reply(250, "2.1.5", "ok"))
             elif isinstance(event, mail.Message):
-                reactor.callLater(SERVICE_S, self.ran, mail.read_header(event.content, "Message-ID") or "")
-        if self.way == "hello" and self.session.state is not mail.State.CLOSED and self.session.peer_name:
+                reactor.callLater(
+                    SERVICE_S, self.finish_message, mail.read_header(event.content, "Message-ID") or ""
+                )
+        if (
+            self.fault_mode == "hello"
+            and self.session.state is not mail.State.CLOSED
+            and self.session.peer_name
+        ):
             return
         if self.transport is not None:
             self.transport.write(self.session.take_output())
 
-    def ran(self, ident: str) -> None:
-        self.stand.ran[ident] += 1
-        if self.way != "dot":
+    def finish_message(self, message_id: str) -> None:
+        self.endpoint.executions[message_id] += 1
+        if self.fault_mode != "dot":
             self.session.answer(Reply(250, "2.0.0", "taken"))
-            self.work()
+            self.process_events()
 
 
-class Stand:
-    """One endpoint: all its addresses lead here."""
+class StandInEndpoint:
+    """Stand-in endpoint, shared by all its addresses."""
 
     def __init__(self, number: int) -> None:
         self.name = f"d{number}.example"
-        self.ran: Counter[str] = Counter()
+        self.executions: Counter[str] = Counter()
         self.counts: Counter[str] = Counter()
 
 
-def _server(stand: Stand, way: str, addr: Any) -> Server:
-    return Server(stand, way)
+def _make_session(endpoint: StandInEndpoint, fault_mode: str, addr: Any) -> StandInSession:
+    return StandInSession(endpoint, fault_mode)
 
 
-def hole(family: int, where: Any) -> list[socket.socket]:
-    """A listener whose queue is full: further connects hang, or on a Unix socket fail at once."""
+def open_full_listener(family: int, address: Any) -> list[socket.socket]:
+    """Return a listener with a full backlog, and the sockets that fill it.
+
+    Further connects hang, or fail at once on a Unix socket.
+    """
     server = socket.socket(family)
-    server.bind(where)
+    server.bind(address)
     server.listen(0)
-    kept = [server]
+    sockets = [server]
     for _ in range(3):
         sock = socket.socket(family)
         sock.setblocking(False)
         with contextlib.suppress(BlockingIOError):
             sock.connect(server.getsockname())
-        kept.append(sock)
-    return kept
+        sockets.append(sock)
+    return sockets
 
 
-def serve(endpoints: int, way: str, folder: str) -> None:
-    """The stand-ins, until standard input says so; then what ran."""
-    stands = [Stand(number) for number in range(endpoints)]
-    places: list[list[tuple[str, int, str]]] = []
-    kept: list[Any] = []
-    six = True
+def serve(endpoints: int, fault_mode: str, folder: str) -> None:
+    """Run the stand-ins until a line arrives on standard input, then print their counts as JSON."""
+    stand_ins = [StandInEndpoint(number) for number in range(endpoints)]
+    addresses: list[list[tuple[str, int, str]]] = []
+    open_listeners: list[Any] = []
+    has_ipv6 = True
     try:
         with socket.create_server(("::1", 0), family=socket.AF_INET6):
             pass
     except OSError:
-        six = False  # no IPv6 on this machine: IPv4 in its place, and the report says so
+        has_ipv6 = False  # IPv4 addresses are used in its place
     rng = random.Random(1)
-    for number, stand in enumerate(stands):
+    for number, endpoint in enumerate(stand_ins):
         row = []
-        # a third of all: four of twelve over three endpoints, anywhere, and never all of one
-        sick = rng.sample(range(4), (1, 1, 2)[number % 3])
-        for place in range(4):
-            broken = place in sick
-            here = way if broken else "healthy"
-            host = "::1" if place == 0 and six else f"127.0.{place}.{1 + number % 250}"
-            path = f"{folder}/{number}.sock" if place == 3 else ""
+        # Over three endpoints, four of twelve addresses are faulty.
+        faulty = rng.sample(range(4), (1, 1, 2)[number % 3])
+        for index in range(4):
+            is_faulty = index in faulty
+            mode = fault_mode if is_faulty else "healthy"
+            host = "::1" if index == 0 and has_ipv6 else f"127.0.{index}.{1 + number % 250}"
+            path = f"{folder}/{number}.sock" if index == 3 else ""
             factory = Factory()
             factory.noisy = False
-            factory.buildProtocol = functools.partial(_server, stand, here)  # type: ignore[method-assign]
-            if here == "hole":
+            factory.buildProtocol = functools.partial(_make_session, endpoint, mode)  # type: ignore[method-assign]
+            if mode == "hole":
                 family = socket.AF_UNIX if path else socket.AF_INET6 if ":" in host else socket.AF_INET
-                socks = hole(family, path or (host, 0))
-                kept.append(socks)
-                port = 0 if path else socks[0].getsockname()[1]
+                sockets = open_full_listener(family, path or (host, 0))
+                open_listeners.append(sockets)
+                port = 0 if path else sockets[0].getsockname()[1]
             elif path:
-                kept.append(reactor.listenUNIX(path, factory))
+                open_listeners.append(reactor.listenUNIX(path, factory))
                 port = 0
             else:
-                kept.append(reactor.listenTCP(0, factory, interface=host))
-                port = kept[-1].getHost().port
+                open_listeners.append(reactor.listenTCP(0, factory, interface=host))
+                port = open_listeners[-1].getHost().port
             row.append(("", 0, path) if path else (host, port, ""))
-        places.append(row)
-    print(json.dumps({"places": places, "six": six}), flush=True)
+        addresses.append(row)
+    print(json.dumps({"addresses": addresses, "has_ipv6": has_ipv6}), flush=True)
 
-    def tell() -> None:
+    def report_on_request() -> None:
         sys.stdin.readline()
         counts: Counter[str] = Counter()
-        for stand in stands:
-            counts.update(stand.counts)
-            counts["ran"] += len(stand.ran)
-            counts["ran twice"] += sum(times > 1 for times in stand.ran.values())
+        for endpoint in stand_ins:
+            counts.update(endpoint.counts)
+            counts["ran"] += len(endpoint.executions)
+            counts["ran twice"] += sum(times > 1 for times in endpoint.executions.values())
         print(json.dumps(counts), flush=True)
         reactor.callFromThread(reactor.stop)
 
-    reactor.callInThread(tell)
+    reactor.callInThread(report_on_request)
     reactor.run()
 
 
 class Sequential(AddressHealth):
-    """A baseline: the listed order, no memory, never two connects at once."""
+    """Baseline: addresses in the listed order, without health records and connection races."""
 
     def rank_addresses(self, now: int, addresses: Any) -> list[RankedAddress]:
         return [RankedAddress(address, "listed") for address in addresses]
@@ -192,7 +201,7 @@
 
 
 class Racing(Sequential):
-    """A baseline: two connects at once, always; each further one when one of them has failed or is slow."""
+    """Baseline: connects to two addresses at once; to a further one if a connect fails or is slow."""
 
     def __init__(self, rng: random.Random) -> None:
         super().__init__(rng)
@@ -212,14 +221,18 @@
 POLICIES = {"honeybarrow": AddressHealth, "sequential": Sequential, "racing": Racing}
 
 
-def play(args: argparse.Namespace) -> None:
-    """One day: the forwarder's core, its messages, and what came of them as JSON."""
-    places = json.loads(sys.stdin.readline())
+def run_forwarder(args: argparse.Namespace) -> None:
+    """Run the forwarder's core with the messages of one measurement and print the results as JSON."""
+    addresses = json.loads(sys.stdin.readline())
     rng = random.Random(args.seed)
     settings = Settings(
         classes=(
             MessageClass(
-                "pay", int(AIM_S * 1e6), int(DEADLINE_S * 1e6), Idempotency.NON_IDEMPOTENT, late_utility=0.5
+                "pay",
+                int(OBJECTIVE_S * 1e6),
+                int(DEADLINE_S * 1e6),
+                Idempotency.NON_IDEMPOTENT,
+                late_utility=0.5,
             ),
         ),
         kinds=(DestinationKind("shop"),),
@@ -232,18 +245,18 @@
     health = POLICIES[args.play](random.Random(1))
     connects = Counter[str]()
 
-    def opened(target: str) -> None:
-        connects["begun"] += 1
+    def on_connect_started(target: str) -> None:
+        connects["started"] += 1
 
-    def failed(error: Exception) -> None:
+    def on_error(error: Exception) -> None:
         raise error
 
     pool = MailConnectionPool(
-        reactor, reactor, "bench.example", PoolConfig(2, 1.0, args.idle), opened, health
+        reactor, reactor, "bench.example", PoolConfig(2, 1.0, args.idle), on_connect_started, health
     )
-    found = {
+    addresses_by_target = {
         f"t{number}": [Address(host, port, False, path) for host, port, path in row]
-        for number, row in enumerate(places)
+        for number, row in enumerate(addresses)
     }
     core = Forwarder(
         settings,
@@ -251,34 +264,41 @@
         reactor,
         lambda: time.monotonic_ns() // 1000,
         pool,
-        lambda target: found[target],
+        lambda target: addresses_by_target[target],
         lambda: None,
         Quiet(),
-        failed,
+        on_error,
+    )
+    rows = tuple(
+        Endpoint(target, number, EndpointState.READY, "shop")
+        for number, target in enumerate(addresses_by_target)
     )
-    rows = tuple(Endpoint(target, number, EndpointState.READY, "shop") for number, target in enumerate(found))
     core.apply_membership_update(MembershipUpdate(UpdateKind.FULL, 1, rows))
-    took: list[float] = []
+    latencies_s: list[float] = []
     answers: Counter[str] = Counter()
     utility = 0.0
 
     def on_result(result: Any, started: float) -> None:
         nonlocal utility
         answers[type(result).__name__] += 1
-        passed = time.monotonic() - started
+        latency_s = time.monotonic() - started
         if isinstance(result, Delivered):
-            took.append(passed)
+            latencies_s.append(latency_s)
             utility += (
-                1.0 if passed <= AIM_S else max(0.0, 1.0 - 0.5 * (passed - AIM_S) / (DEADLINE_S - AIM_S))
+                1.0
+                if latency_s <= OBJECTIVE_S
+                else max(0.0, 1.0 - 0.5 * (latency_s - OBJECTIVE_S) / (DEADLINE_S - OBJECTIVE_S))
             )
         if answers.total() == args.messages:
             reactor.callLater(0.3, reactor.stop)
 
     def submit(number: int) -> None:
-        where = rng.randrange(len(places))
+        destination = rng.randrange(len(addresses))
         content = f"Message-ID: <m{number}@b.example>\r\n\r\nx\r\n".encode()
-        payload = MailPayload(mail.Path("a", "b.example"), mail.Path("pay", f"d{where}.example"), content)
-        done = core.submit(Submission(f"m{number}", "pay", where, int(DEADLINE_S * 1e6), payload))
+        payload = MailPayload(
+            mail.Path("a", "b.example"), mail.Path("pay", f"d{destination}.example"), content
+        )
+        done = core.submit(Submission(f"m{number}", "pay", destination, int(DEADLINE_S * 1e6), payload))
         done.addCallback(on_result, time.monotonic())
         if number + 1 < args.messages:
             reactor.callLater(rng.expovariate(args.rate), submit, number + 1)
@@ -286,15 +306,15 @@
     reactor.callWhenRunning(submit, 0)
     reduce_gc_frequency()
     reactor.run()
-    took.sort()
+    latencies_s.sort()
     outcomes = core.counters.outcomes
     print(
         json.dumps(
             {
                 "utility": utility / args.messages,
-                "median": took[len(took) // 2] if took else 0.0,
-                "p99": took[len(took) * 99 // 100] if took else 0.0,
-                "begun": connects["begun"],
+                "median": latencies_s[len(latencies_s) // 2] if latencies_s else 0.0,
+                "p99": latencies_s[len(latencies_s) * 99 // 100] if latencies_s else 0.0,
+                "connects_started": connects["started"],
                 "answers": answers,
                 "attempts": core.counters.attempts,
                 "ambiguous": outcomes.get(AttemptStatus.TIMEOUT.value, 0)
@@ -305,32 +325,32 @@
     )
 
 
-def measure(args: argparse.Namespace, way: str, policy: str) -> dict[str, Any]:
-    """One policy on one day, in processes of their own."""
+def measure(args: argparse.Namespace, fault_mode: str, policy: str) -> dict[str, Any]:
+    """Measure one policy with one kind of fault, in new processes."""
     command = [sys.executable, "-m", "benchmarks.addresses"]
     with tempfile.TemporaryDirectory() as folder:
-        stands = subprocess.Popen(
-            [*command, "--serve", way, "--endpoints", str(args.endpoints), "--folder", folder],
+        stand_ins = subprocess.Popen(
+            [*command, "--serve", fault_mode, "--endpoints", str(args.endpoints), "--folder", folder],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             text=True,
         )
-        assert stands.stdin and stands.stdout
-        listening = json.loads(stands.stdout.readline())
-        more = ["--messages", str(args.messages), "--rate", str(args.rate), "--seed", str(args.seed)]
-        more += ["--idle", str(args.idle)]
-        player = subprocess.run(
-            [*command, "--play", policy, *more],
-            input=json.dumps(listening["places"]) + "\n",
+        assert stand_ins.stdin and stand_ins.stdout
+        listening = json.loads(stand_ins.stdout.readline())
+        options = ["--messages", str(args.messages), "--rate", str(args.rate), "--seed", str(args.seed)]
+        options += ["--idle", str(args.idle)]
+        client_process = subprocess.run(
+            [*command, "--play", policy, *options],
+            input=json.dumps(listening["addresses"]) + "\n",
             capture_output=True,
             text=True,
             check=True,
         )
-        stands.stdin.write("\n")
-        stands.stdin.flush()
-        counts = json.loads(stands.stdout.readline())
-        stands.wait()
-    return {**json.loads(player.stdout), **counts, "six": listening["six"]}
+        stand_ins.stdin.write("\n")
+        stand_ins.stdin.flush()
+        counts = json.loads(stand_ins.stdout.readline())
+        stand_ins.wait()
+    return {**json.loads(client_process.stdout), **counts, "has_ipv6": listening["has_ipv6"]}
 
 
 def main() -> None:
@@ -338,9 +358,11 @@
     parser.add_argument("--messages", type=int, default=1000)
     parser.add_argument("--rate", type=float, default=100.0)
     parser.add_argument("--endpoints", type=int, default=50)
-    parser.add_argument("--idle", type=float, default=0.5, help="seconds for which a connection is kept")
+    parser.add_argument(
+        "--idle", type=float, default=0.5, help="seconds for which an idle connection is kept"
+    )
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--ways", nargs="*", default=WAYS, choices=WAYS)
+    parser.add_argument("--ways", nargs="*", default=FAULT_MODES, choices=FAULT_MODES)
     parser.add_argument("--policies", nargs="*", default=list(POLICIES), choices=list(POLICIES))
     parser.add_argument("--serve", default="")
     parser.add_argument("--play", default="")
@@ -350,25 +372,28 @@
         serve(args.endpoints, args.serve, args.folder)
         return
     if args.play:
-        play(args)
+        run_forwarder(args)
         return
     print(
         f"{os.cpu_count()} processors, {args.messages} non-idempotent messages a day,",
         f"{args.rate:.0f} a second,",
         end=" ",
     )
-    print(f"{args.endpoints} endpoints with 4 addresses, a third of the addresses broken; aim {AIM_S} s")
+    print(
+        f"{args.endpoints} endpoints with 4 addresses, a third of the addresses broken; aim {OBJECTIVE_S} s"
+    )
     print("way      policy       utility delivered  median ms  p99 ms  connects/msg  attempts/msg  ran twice")
-    for way in args.ways:
+    for fault_mode in args.ways:
         for policy in args.policies:
-            got = measure(args, way, policy)
+            row = measure(args, fault_mode, policy)
             print(
-                f"{way:8} {policy:12} {got['utility']:6.3f} {got['answers'].get('Delivered', 0):10}"
-                f" {got['median'] * 1e3:10.1f} {got['p99'] * 1e3:7.0f} {got['begun'] / args.messages:13.2f}"
-                f" {got['attempts'] / args.messages:13.2f} {got['ran twice']:10}",
+                f"{fault_mode:8} {policy:12} {row['utility']:6.3f} {row['answers'].get('Delivered', 0):10}"
+                f" {row['median'] * 1e3:10.1f} {row['p99'] * 1e3:7.0f}"
+                f" {row['connects_started'] / args.messages:13.2f}"
+                f" {row['attempts'] / args.messages:13.2f} {row['ran twice']:10}",
                 flush=True,
             )
-            if not got["six"]:
+            if not row["has_ipv6"]:
                 print("no IPv6 on this machine: IPv4 in its place")
 
 
--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -1,4 +1,4 @@
-"""Figures of the replicated log: drawn runs, states, commit and failover times. All simulated but the states.
+"""Benchmarks of the consensus protocol: random simulated runs, model checking, commit and failover times.
 
 python -m benchmarks.consensus days 1000 | states | times
 """
@@ -41,14 +41,17 @@
 
 
 def run_plan(seed: int) -> tuple[list[str], int, int, int]:
-    """Violations of a run, acknowledged proposals, leader changes, voters added again."""
+    """Simulate one run.
+
+    Returns its violations and the numbers of acknowledged proposals, leaders and readmitted members.
+    """
     cluster = ConsensusCluster(draw_plan(seed, 3 + 2 * (seed % 2), 2 + seed % 5), seed)
     history = cluster.run()
     return find_violations(cluster), len(history.acknowledged), len(history.elected_us), history.readmitted
 
 
 def is_violated(mutant: str, seed: int) -> bool:
-    """Whether a mutant violates something in this run."""
+    """Return whether a mutant violates a guarantee in the run with this seed."""
     mutants = {
         "lost disk votes": LostDiskVotes,
         "one is enough": OneIsEnough,
@@ -60,41 +63,42 @@
 
 
 def measure_runs(count: int) -> None:
-    """Drawn runs, and in how many the mutants violate something."""
-    began = time.monotonic()
+    """Simulate random runs, and print the number of violations with and without mutants."""
+    started_s = time.monotonic()
     with ProcessPoolExecutor() as pool:
-        found = list(pool.map(run_plan, range(count), chunksize=10))
-        bad = [(seed, each[0]) for seed, each in enumerate(found) if each[0]]
-        print(f"{count} runs in {time.monotonic() - began:.0f} s: {len(bad)} break a guarantee {bad[:3]}")
-        print(f"  acknowledged {sum(e[1] for e in found)}, leaders {sum(e[2] for e in found)}, "
-              f"added again {sum(e[3] for e in found)}")  # fmt: skip
+        results = list(pool.map(run_plan, range(count), chunksize=10))
+        failed = [(seed, each[0]) for seed, each in enumerate(results) if each[0]]
+        print(f"{count} runs in {time.monotonic() - started_s:.0f} s:"
+              f" {len(failed)} break a guarantee {failed[:3]}")  # fmt: skip
+        print(f"  acknowledged {sum(e[1] for e in results)}, leaders {sum(e[2] for e in results)}, "
+              f"added again {sum(e[3] for e in results)}")  # fmt: skip
         for mutant in ("lost disk votes", "one is enough", "votes for older"):
-            some = list(pool.map(is_violated, [mutant] * 200, range(200), chunksize=10))
-            print(f"  {mutant}: {sum(some)} of 200 runs break")
+            is_caught = list(pool.map(is_violated, [mutant] * 200, range(200), chunksize=10))
+            print(f"  {mutant}: {sum(is_caught)} of 200 runs break")
 
 
 def search(name: str) -> SearchResult:
-    """All states of one model, or as many as there is room for."""
+    """Explore the states of one model, up to ``MAX_STATES``."""
     return explore_states(MODELS[name], MAX_STATES)
 
 
 def count_states() -> None:
-    """Each model to its end."""
+    """Explore the states of each model and print the results."""
     with ProcessPoolExecutor(4) as pool:
-        for name, found in zip(MODELS, pool.map(search, MODELS), strict=True):
-            extent = "all" if found.is_complete else "the first"
-            print(f"{name}: {extent} {found.states} states, {found.transitions} transitions, "
-                  f"depth {found.depth}, "
-                  f"{found.duration_s:.0f} s, {found.violation or 'no violation'}", flush=True)  # fmt: skip
+        for name, result in zip(MODELS, pool.map(search, MODELS), strict=True):
+            extent = "all" if result.is_complete else "the first"
+            print(f"{name}: {extent} {result.states} states, {result.transitions} transitions, "
+                  f"depth {result.depth}, "
+                  f"{result.duration_s:.0f} s, {result.violation or 'no violation'}", flush=True)  # fmt: skip
 
 
 def quantile_ms(values: list[int], share: float) -> float:
-    """In milliseconds."""
+    """Return a quantile of times in microseconds, in milliseconds."""
     return sorted(values)[min(len(values) - 1, int(share * len(values)))] / 1000
 
 
 def measure_times() -> None:
-    """From proposing to commit by the links' delay; from a leader's death to the next one."""
+    """Print the times to commit a proposal and to elect a new leader, by the delay of the links."""
     for delay in (50, 1_000, 10_000, 50_000):
         plan = ClusterPlan(
             loss_rate=0.0, duplicate_rate=0.0, delay_range_us=(delay, delay + 1), sync_range_us=(500, 2000)
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,10 +1,10 @@
-"""What a decision costs: one Sender alone, simulated time, destinations that are silent, shut or failing.
+"""Benchmark of the decisions of one Sender in simulated time, with silent, closed or failing destinations.
 
     python -m benchmarks.decisions [--against CHECKOUT] [--quick] [--plot FILE.png]
 
-Prints us of CPU a message, the worst single batch, how often pressure is computed and an endpoint chosen for
-each message (counts that no machine changes), and bytes a destination and a message waiting. With --against
-the benchmark of another checkout runs right after it, with the same options.
+Prints the CPU time per message, the slowest batch, the numbers of calls of ``pressure`` and
+``choose_endpoint`` per message, which do not depend on the machine, and the bytes per destination and per
+waiting message. With --against the benchmark of another checkout runs afterwards with the same options.
 """
 
 from __future__ import annotations
@@ -69,20 +69,20 @@
 
 @dataclass(frozen=True)
 class Load:
-    """One run: ``rate`` messages a second over ``destinations``, ``sick`` of them in trouble."""
+    """Parameters of a run: ``rate`` messages per second to ``destinations``, ``faulty`` of which fail."""
 
     destinations: int
-    sick: int = 0
-    trouble: str = "silent"  # silent, shut, failing
+    faulty: int = 0
+    fault: str = "silent"  # silent, shut or failing
     rate: int = 600
     seconds: float = 10.0
     classes: str = "one"
-    room: int = 100_000
+    max_open: int = 100_000
 
 
 @dataclass
 class Figures:
-    """What a run cost."""
+    """Results of a run; ``press`` and ``choose`` are numbers of calls per message."""
 
     messages: int
     cpu_us: float
@@ -94,17 +94,17 @@
 
 
 @contextmanager
-def counted(names: Sequence[str]) -> Iterator[Counter[str]]:
-    """Count the calls of functions of the admission module."""
+def count_calls(names: Sequence[str]) -> Iterator[Counter[str]]:
+    """Count the calls of these functions of the admission module."""
     counts: Counter[str] = Counter()
     originals = {name: getattr(admission, name) for name in names}
 
     def counting(name: str) -> Callable[..., Any]:
-        def call(*arguments: Any) -> Any:
+        def counting_call(*arguments: Any) -> Any:
             counts[name] += 1
             return originals[name](*arguments)
 
-        return call
+        return counting_call
 
     for name in names:
         setattr(admission, name, counting(name))
@@ -116,8 +116,8 @@
 
 
 def run(load: Load, seed: int = 1) -> Figures:
-    """Drive one Sender through the load."""
-    with counted(("pressure", "choose_endpoint")) as counts:
+    """Simulate one Sender with this load."""
+    with count_calls(("pressure", "choose_endpoint")) as counts:
         return _run(load, seed, counts)
 
 
@@ -126,7 +126,7 @@
         classes=CLASSES[load.classes],
         kinds=(DestinationKind("kind"),),
         slots=max(3, load.rate // 4),
-        max_open=load.room,
+        max_open=load.max_open,
         max_attempts=12,
         allows_retry_after=True,
         max_retry_after_us=3 * SECOND,
@@ -138,64 +138,77 @@
     due: list[tuple[int, int, Any]] = []
     order = 0
     for number in range(int(load.rate * load.seconds)):
-        at = 1000 + int(number * SECOND / load.rate)
-        kind = settings.classes[number % len(settings.classes)]
-        key = rng.randrange(50) if kind.is_ordered else None
-        where = rng.randrange(load.destinations)
+        at_us = 1000 + int(number * SECOND / load.rate)
+        message_class = settings.classes[number % len(settings.classes)]
+        key = rng.randrange(50) if message_class.is_ordered else None
+        destination = rng.randrange(load.destinations)
         heapq.heappush(
-            due, (at, order, MessageArrived(f"m{number}", kind.name, where, kind.deadline_us, order_key=key))
+            due,
+            (
+                at_us,
+                order,
+                MessageArrived(
+                    f"m{number}", message_class.name, destination, message_class.deadline_us, order_key=key
+                ),
+            ),
         )
         order += 1
     messages = order
-    tries: Counter[str] = Counter()
+    attempts: Counter[str] = Counter()
     answers: Counter[str] = Counter()
-    worst, cpu, most = 0.0, 0.0, 0
-    last = 1000 + int(load.seconds * SECOND)
-    while due and due[0][0] <= last:
-        now = due[0][0]
+    worst_s, cpu_s, max_held = 0.0, 0.0, 0
+    end_us = 1000 + int(load.seconds * SECOND)
+    while due and due[0][0] <= end_us:
+        now_us = due[0][0]
         events = []
-        while due and due[0][0] == now:
+        while due and due[0][0] == now_us:
             event = heapq.heappop(due)[2]
             events.append(event)
             if isinstance(event, AttemptFinished) and event.status is AttemptStatus.OK:
                 answers["delivered"] += 1
-        began = time.process_time()
-        actions = sender.handle(now, events)
-        took = time.process_time() - began
-        cpu, worst = cpu + took, max(worst, took)
-        most = max(most, len(sender.state.messages))
+        started_s = time.process_time()
+        actions = sender.handle(now_us, events)
+        elapsed_s = time.process_time() - started_s
+        cpu_s, worst_s = cpu_s + elapsed_s, max(worst_s, elapsed_s)
+        max_held = max(max_held, len(sender.state.messages))
         for action in actions:
             order += 1
             if isinstance(action, SetTimer):
-                heapq.heappush(due, (now + action.delay_us, order, TimerFired(action.name)))
+                heapq.heappush(due, (now_us + action.delay_us, order, TimerFired(action.name)))
             elif isinstance(action, SendAttempt):
-                number, tries[action.message] = tries[action.message], tries[action.message] + 1
-                status, after, wait = AttemptStatus.OK, CALL_US, 0
-                if int(action.target[1:]) < load.sick:
-                    status, after, wait = {
+                number, attempts[action.message] = attempts[action.message], attempts[action.message] + 1
+                status, duration_us, retry_after_us = AttemptStatus.OK, CALL_US, 0
+                if int(action.target[1:]) < load.faulty:
+                    status, duration_us, retry_after_us = {
                         "silent": (AttemptStatus.TIMEOUT, action.timeout_us, 0),
                         "shut": (AttemptStatus.FULL, CALL_US // 10, 800_000),
                         "failing": (AttemptStatus.ERROR, CALL_US, 0),
-                    }[load.trouble]
-                ended = AttemptFinished(
-                    action.message, number, action.target, status, after, status is AttemptStatus.OK, wait
+                    }[load.fault]
+                finished = AttemptFinished(
+                    action.message,
+                    number,
+                    action.target,
+                    status,
+                    duration_us,
+                    status is AttemptStatus.OK,
+                    retry_after_us,
                 )
-                heapq.heappush(due, (now + after, order, ended))
+                heapq.heappush(due, (now_us + duration_us, order, finished))
             elif isinstance(action, ReturnToClient | FailPermanently):
                 answers[type(action).__name__] += 1
     return Figures(
         messages,
-        cpu / messages * 1e6,
-        worst * 1e3,
+        cpu_s / messages * 1e6,
+        worst_s * 1e3,
         counts["pressure"] / messages,
         counts["choose_endpoint"] / messages,
         answers,
-        most,
+        max_held,
     )
 
 
-def memory() -> tuple[float, float]:
-    """Bytes a destination, and bytes a message that waits."""
+def measure_memory() -> tuple[float, float]:
+    """Return the bytes per destination and per waiting message."""
     tracemalloc.start()
     settings = Settings(CLASSES["one"], (DestinationKind("kind"),), slots=1, max_open=100_000)
     sender = Sender(settings, 1)
@@ -212,19 +225,23 @@
 
 
 def plot(rows: list[tuple[Load, Figures]], path: Path) -> None:
-    """Cost over the number of destinations, a line for each part of them that is silent."""
+    """Plot the costs by number of destinations, with a line for each share of silent ones."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     figure, (cost, worst) = pyplot.subplots(1, 2, figsize=(10, 4))
-    plain = [(load, got) for load, got in rows if load.classes == "one" and load.room == Load(1).room]
+    plain = [
+        (load, figures)
+        for load, figures in rows
+        if load.classes == "one" and load.max_open == Load(1).max_open
+    ]
     for part, name in ((0, "none silent"), (2, "a tenth silent"), (10, "half silent")):
         line = [
-            (load.destinations, got.cpu_us, got.worst_ms)
-            for load, got in plain
-            if load.trouble == "silent" and load.sick == load.destinations * part // 20
+            (load.destinations, figures.cpu_us, figures.worst_ms)
+            for load, figures in plain
+            if load.fault == "silent" and load.faulty == load.destinations * part // 20
         ]
         sizes = [size for size, _, _ in line]
         cost.plot(sizes, [us for _, us, _ in line], marker="o", label=name)
@@ -236,46 +253,47 @@
     figure.savefig(path, dpi=80)
 
 
-def loads(quick: bool) -> list[Load]:
+def list_loads(quick: bool) -> list[Load]:
+    """Return the loads that are measured."""
     sizes = [24, 240, 2000] if quick else [24, 240, 2000, 10_000]
     rows = [Load(size, size * part // 20) for size in sizes for part in (0, 2, 10)]
-    rows += [Load(240, 24, trouble) for trouble in ("shut", "failing")]
-    rows += [Load(240, 120, trouble) for trouble in ("shut", "failing")]
-    rows += [Load(240, sick, classes="mixed") for sick in (0, 24, 120)]
-    rows += [Load(240, 120, room=600), Load(240, 24, room=600, rate=1800)]
+    rows += [Load(240, 24, fault) for fault in ("shut", "failing")]
+    rows += [Load(240, 120, fault) for fault in ("shut", "failing")]
+    rows += [Load(240, faulty, classes="mixed") for faulty in (0, 24, 120)]
+    rows += [Load(240, 120, max_open=600), Load(240, 24, max_open=600, rate=1800)]
     return rows
 
 
 def main() -> None:
     parser = argparse.ArgumentParser()
-    parser.add_argument("--against", type=Path, help="another checkout, whose benchmark runs afterwards")
+    parser.add_argument("--against", type=Path, help="another checkout whose benchmark runs afterwards")
     parser.add_argument("--quick", action="store_true")
-    parser.add_argument("--plot", type=Path, help="write the growth as a picture")
+    parser.add_argument("--plot", type=Path, help="write a plot of the costs by number of destinations")
     parser.add_argument("--seconds", type=float, default=10.0)
     args = parser.parse_args()
     print(
-        f"{'destinations':>12} {'sick':>5} {'trouble':8} {'classes':7} {'room':>6}"
+        f"{'destinations':>12} {'faulty':>6} {'fault':8} {'classes':7} {'max_open':>8}"
         f" {'us/msg':>8} {'worst ms':>8} {'press':>7} {'choose':>7} {'waiting':>7}"
     )
-    reduce_gc_frequency()  # as in a forwarder
+    reduce_gc_frequency()  # as forwarders do
     rows: list[tuple[Load, Figures]] = []
-    for load in loads(args.quick):
+    for load in list_loads(args.quick):
         load = Load(
-            load.destinations, load.sick, load.trouble, load.rate, args.seconds, load.classes, load.room
+            load.destinations, load.faulty, load.fault, load.rate, args.seconds, load.classes, load.max_open
         )
         best = min((run(load) for _ in range(3)), key=lambda figures: figures.cpu_us)
         rows.append((load, best))
         gc.collect()
-        trouble = load.trouble if load.sick else "-"
+        fault = load.fault if load.faulty else "-"
         print(
-            f"{load.destinations:12} {load.sick:5} {trouble:8} {load.classes:7} {load.room:6}"
+            f"{load.destinations:12} {load.faulty:6} {fault:8} {load.classes:7} {load.max_open:8}"
             f" {best.cpu_us:8.0f} {best.worst_ms:8.1f} {best.press:7.1f} {best.choose:7.1f}"
             f" {best.waiting:7}",
             flush=True,
         )
     if args.plot:
         plot(rows, args.plot)
-    print("bytes a destination, a message waiting: {:.0f}, {:.0f}".format(*memory()))
+    print("bytes a destination, a message waiting: {:.0f}, {:.0f}".format(*measure_memory()))
     if args.against:
         options = ["--quick"] * args.quick + ["--seconds", str(args.seconds)]
         subprocess.run([sys.executable, "-m", "benchmarks.decisions", *options], cwd=args.against, check=True)
--- a/benchmarks/fleet_members.py
+++ b/benchmarks/fleet_members.py
@@ -1,4 +1,4 @@
-"""Membership: detection time of a death, false deaths, and what a member sends. A model of members.
+"""Benchmark of fleet membership in simulation: detection time of a death, false deaths, traffic per member.
 
 python -m benchmarks.fleet_members --sizes 10,50,200 --day 10 --jobs 4
 """
@@ -12,11 +12,13 @@
 
 from honeybarrow.lab.gossip_cluster import SECOND, ClusterConfig, GossipCluster
 
-CALLS_PER_SECOND = 0.2  # of a member: next to nothing, so that membership and the digests are measured
+CALLS_PER_SECOND = 0.2  # of each member; low, so that mostly membership traffic is measured
 
 
 def measure_detection(job: tuple[int, int]) -> tuple[float, float, float, float]:
-    """Seconds until the first and the last member knows of a death; messages and bytes a second a member."""
+    """Return the seconds until the first and the last member detects a death, and the datagrams and bytes per
+    second that each member sends. ``job``: number of members, seed.
+    """
     size, seed = job
     fleet = GossipCluster(
         ClusterConfig(member_count=size, calls_per_second=CALLS_PER_SECOND, datagram_loss=0.01), seed
@@ -34,13 +36,16 @@
     for death in fleet.record.deaths:
         if death.member == killed and death.at_us >= killed_us:
             known_us.setdefault(death.observer, death.at_us)
-    assert len(known_us) == size - 1, f"{len(known_us)} of {size - 1} know ({job})"
+    assert len(known_us) == size - 1, f"{len(known_us)} of {size - 1} members detected the death ({job})"
     times = list(known_us.values())
     return (min(times) - killed_us) / SECOND, (max(times) - killed_us) / SECOND, sent, sent_bytes
 
 
 def count_false_deaths(job: tuple[int, float, float, int]) -> tuple[int, float]:
-    """Members declared dead that were not, over so many seconds with this share of datagrams lost."""
+    """Return the number of live members declared dead, and the simulated seconds.
+
+    ``job``: number of members, seconds, share of lost datagrams, seed.
+    """
     size, seconds, loss, seed = job
     fleet = GossipCluster(
         ClusterConfig(member_count=size, calls_per_second=CALLS_PER_SECOND, datagram_loss=loss), seed
@@ -52,12 +57,12 @@
 @click.command()
 @click.option("--sizes", default="10,50,200")
 @click.option("--seeds", default=8)
-@click.option("--hours", default=1.0, help="of all members together, in parts side by side")
+@click.option("--hours", default=1.0, help="simulated hours in which false deaths are counted")
 @click.option("--size", default=10)
 @click.option("--loss", default=0.05)
 @click.option("--jobs", default=4)
 def main(sizes: str, seeds: int, hours: float, size: int, loss: float, jobs: int) -> None:
-    """Play and print."""
+    """Run the simulations and print the results."""
     with ProcessPoolExecutor(jobs) as pool:
         for each in map(int, sizes.split(",")):
             rows = list(pool.map(measure_detection, [(each, seed) for seed in range(seeds)]))
@@ -67,11 +72,11 @@
                 f" {median(r[2] for r in rows):.1f} messages,"
                 f" {median(r[3] for r in rows):.0f} bytes a second"
             )
-        parts = [(size, 900.0, loss, seed) for seed in range(round(hours * 4))]
-        found = list(pool.map(count_false_deaths, parts))
+        loss_jobs = [(size, 900.0, loss, seed) for seed in range(round(hours * 4))]
+        results = list(pool.map(count_false_deaths, loss_jobs))
         click.echo(
-            f"{sum(row[1] for row in found) / 3600:.1f} h of {size} members, {loss:.0%} lost:"
-            f" {sum(row[0] for row in found)} false deaths"
+            f"{sum(row[1] for row in results) / 3600:.1f} h of {size} members, {loss:.0%} lost:"
+            f" {sum(row[0] for row in results)} false deaths"
         )
 
 
--- a/benchmarks/fuzz_mail.py
+++ b/benchmarks/fuzz_mail.py
@@ -1,10 +1,10 @@
-"""A coverage-guided fuzzer over the session machines and the register's list; for long runs, not for CI.
+"""Coverage-guided fuzzer for the mail sessions and the parser of the endpoint list; not run in CI.
 
     pip install atheris
     python -m benchmarks.fuzz_mail TARGET -max_total_time=600 [CORPUS]
 
-TARGET: server, client, list or advice. A traceback or a buffer past its bound ends the run; what it found is
-kept as a test in tests/test_mail.py.
+TARGET is server, client, list or advice. An exception or a buffer above its bound ends the run. Inputs that
+failed are kept as tests in tests/test_mail.py.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
 OK = mail.Reply(250, "2.0.0", "ok")
 
 
-def server(data: bytes) -> None:
-    """The first octet chooses protocol and pieces; the rest is what a client writes."""
+def fuzz_server(data: bytes) -> None:
+    """Feed a server session. The first octet selects the protocol and the chunk size."""
     if not data:
         return
     mode, data = data[0], data[1:]
@@ -39,9 +39,9 @@
         "f", bool(mode & 1), LIMITS, offer_tls=bool(mode & 2), offer_auth=bool(mode & 2)
     )
     session.greet()
-    step = 1 + (mode >> 2)
-    for at in range(0, len(data), step):
-        session.receive(data[at : at + step])
+    chunk_bytes = 1 + (mode >> 2)
+    for offset in range(0, len(data), chunk_bytes):
+        session.receive(data[offset : offset + chunk_bytes])
         while (event := session.next_event()) is not None:
             if isinstance(event, mail.Message):
                 assert len(event.content) <= LIMITS.max_message_bytes + 4
@@ -52,14 +52,14 @@
                 session.on_tls_started()
         assert (
             len(session._in) <= LIMITS.max_buffered_bytes
-            and len(session._content) <= LIMITS.max_message_bytes + 2 * step
+            and len(session._content) <= LIMITS.max_message_bytes + 2 * chunk_bytes
         )
         for line in session.take_output().split(b"\r\n")[:-1]:
             assert line[:3].isdigit() and len(line) < 600
 
 
-def client(data: bytes) -> None:
-    """What a server writes, split at octet 255."""
+def fuzz_client(data: bytes) -> None:
+    """Feed a client session with replies, split at octet 255."""
     session = mail.ClientSession("c", bool(data[:1] == b"L"))
     session.receive(b"220 x\r\n250-x\r\n250-PIPELINING\r\n250 XADVICE\r\n")
     answered = 3
@@ -75,7 +75,8 @@
         assert len(session._in) < 5000 and len(session._reader._rows) <= 102
 
 
-def the_list(data: bytes) -> None:
+def fuzz_list(data: bytes) -> None:
+    """Apply a line to an empty partner directory."""
     directory = PartnerDirectory()
     try:
         directory.apply_line(data)
@@ -83,13 +84,19 @@
         assert directory.version == 0 and not directory.endpoints
 
 
-def advice(data: bytes) -> None:
+def fuzz_advice(data: bytes) -> None:
+    """Parse the advice of a reply text."""
     text = data.decode("latin-1")
-    rest, found = read_advice(text)
-    assert len(rest) <= len(text) and found.wait_ms >= 0 and found.within_ms >= 0
+    rest, parsed = read_advice(text)
+    assert len(rest) <= len(text) and parsed.wait_ms >= 0 and parsed.within_ms >= 0
 
 
-TARGETS: dict[str, Any] = {"server": server, "client": client, "list": the_list, "advice": advice}
+TARGETS: dict[str, Any] = {
+    "server": fuzz_server,
+    "client": fuzz_client,
+    "list": fuzz_list,
+    "advice": fuzz_advice,
+}
 
 
 def main() -> None:
