--- a/benchmarks/addresses.py
+++ b/benchmarks/addresses.py
@@ -26,7 +26,7 @@
 
 from twisted.internet.protocol import Factory, Protocol
 
-from benchmarks.ordinary_path import Quiet
+from benchmarks.ordinary_path import NullLogger
 from honeybarrow import mail
 from honeybarrow.addressing.address import Address
 from honeybarrow.addressing.address_health import AddressHealth, RankedAddress
@@ -266,7 +266,7 @@
         pool,
         lambda target: addresses_by_target[target],
         lambda: None,
-        Quiet(),
+        NullLogger(),
         on_error,
     )
     rows = tuple(
--- a/benchmarks/load_front.py
+++ b/benchmarks/load_front.py
@@ -1,9 +1,9 @@
-"""Open loop against one forwarder: messages at their intended times, however late the answers are.
+"""Open-loop load test of one forwarder: messages are sent at scheduled times, independent of the replies.
 
     python -m benchmarks.load_front [--rate 590] [--seconds 120] [--destinations 100] [--silent 10]
 
-Latency counts from the time at which a message was meant to be handed in, so a stall is not left out of the
-figures (no coordinated omission). The forwarder, its partners and the load are processes of their own.
+Latency counts from the scheduled time of a message, which avoids coordinated omission. The forwarder, its
+partners and the load generator run in separate processes.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from honeybarrow.service import Service
 
 reactor = get_reactor()
-AIM_S = 4.0
+OBJECTIVE_S = 4.0
 SCRIPT = """
 one = forwarder("load.example", classes = [
         message_class("status", aim = "4s", deadline = "16s", late_share = 0.4),
@@ -43,16 +43,16 @@
 CLASSES = ("status", "status", "posting", "posting", "posting", "pay")
 
 
-class Quiet:
-    """A log for nobody."""
+class NullLogger:
+    """Logger that drops everything."""
 
     def debug(self, event: str, **fields: Any) -> None: ...
 
     info = warning = error = debug
 
 
-class Partners(Protocol):
-    """All partners behind one port: each answers after 60 to 140 ms, the silent ones never."""
+class PartnerSession(Protocol):
+    """Session of any partner, on one port for all: replies after 60 to 140 ms, or never if it is silent."""
 
     transport: Any = None
     silent = 0
@@ -66,31 +66,36 @@
 
     def dataReceived(self, data: bytes) -> None:
         self.session.receive(data)
-        self.work()
+        self.process_events()
 
-    def work(self) -> None:
+    def process_events(self) -> None:
         while (event := self.session.next_event()) is not None:
             if isinstance(event, mail.Sender | mail.Recipient):
                 self.session.answer(mail.Reply(250, "2.0.0", "ok"))
             elif isinstance(event, mail.Message) and int(event.recipients[0].domain[1:-8]) >= self.silent:
-                reactor.callLater(random.uniform(0.06, 0.14), self.done)
+                reactor.callLater(random.uniform(0.06, 0.14), self.accept_message)
         self.transport.write(self.session.take_output())
 
-    def done(self) -> None:
+    def accept_message(self) -> None:
         if self.connected and self.session.is_waiting:
             self.session.answer(mail.Reply(250, "2.0.0", "ok"))
-            self.work()
+            self.process_events()
 
 
 def serve_partners(args: argparse.Namespace) -> None:
-    Partners.silent = args.silent
-    factory = Factory.forProtocol(Partners)
+    """Run the partners and print their port."""
+    PartnerSession.silent = args.silent
+    factory = Factory.forProtocol(PartnerSession)
     factory.noisy = False
     print(reactor.listenTCP(0, factory, 1000, "127.0.0.1").getHost().port, flush=True)
     reactor.run()
 
 
 def serve_forwarder(args: argparse.Namespace) -> None:
+    """Run the forwarder and print its ports.
+
+    When a line arrives on standard input, print its CPU time and peak memory, and stop.
+    """
     settings = config.find_all(config.evaluate_script("load", SCRIPT), Settings)[0]
     service = Service(
         settings,
@@ -101,7 +106,7 @@
         1,
         lambda: None,
         lambda data: None,
-        Quiet(),
+        NullLogger(),
         lambda error: reactor.stop(),
     )
     service.register.subscribe = lambda: None  # type: ignore[method-assign]
@@ -112,22 +117,23 @@
     rows = tuple(
         EndpointEntry(target=f"t{i}", destination=i, state="ready", addresses=address) for i in range(count)
     )
-    news = ListUpdate(kind="full", version=1, partners=partners, endpoints=rows)
-    service.handle_list_update(service.directory.apply(news))
+    update = ListUpdate(kind="full", version=1, partners=partners, endpoints=rows)
+    service.handle_list_update(service.directory.apply(update))
     print(json.dumps(ports), flush=True)
 
-    def tell() -> None:
+    def report_on_request() -> None:
         sys.stdin.readline()
         usage = resource.getrusage(resource.RUSAGE_SELF)
         print(json.dumps([usage.ru_utime + usage.ru_stime, usage.ru_maxrss]), flush=True)
         if reactor.running:
             reactor.callFromThread(reactor.stop)
 
-    reactor.callInThread(tell)
+    reactor.callInThread(report_on_request)
     reactor.run()
 
 
-def load(args: argparse.Namespace) -> None:
+def run_load(args: argparse.Namespace) -> None:
+    """Send the messages and print the outcomes and latencies as JSON."""
     ports = json.loads(args.ports)
     limits = ClientLimits(max_connections=1500, max_waiting=100_000, timeout_s=40.0)
     clients = [
@@ -135,52 +141,52 @@
         for name, port in ports.items()
     ]
     rng = random.Random(1)
-    everyone, healthy = (HdrHistogram(1, 60_000_000, 3) for _ in range(2))
-    answers: Counter[str] = Counter()
+    all_latencies, healthy_latencies = (HdrHistogram(1, 60_000_000, 3) for _ in range(2))
+    results: Counter[str] = Counter()
     on_time: Counter[str] = Counter()
     total = int(args.rate * args.seconds)
-    began = time.monotonic() + 0.5
-    left = total
+    start_s = time.monotonic() + 0.5
+    pending = total
 
-    def hand_in(number: int) -> None:
-        meant = began + number / args.rate
-        where = rng.randrange(args.destinations)
+    def submit(number: int) -> None:
+        scheduled_s = start_s + number / args.rate
+        destination = rng.randrange(args.destinations)
         content = f"Message-ID: <{number}@load.example>\r\n\r\n{'x' * 200}\r\n".encode()
-        recipient = f"{rng.choice(CLASSES)}@d{where}.example"
-        answer = clients[number % 2].submit("a@load.example", recipient, content)
-        answer.addCallback(heard, meant, where >= args.silent)
-
-    def heard(answer: Any, meant: float, well: bool) -> None:
-        nonlocal left
-        took = time.monotonic() - meant
-        kind = "healthy" if well else "silent"
-        answers[f"{kind} {type(answer).__name__}"] += 1
-        if isinstance(answer, Delivered):
-            everyone.record_value(max(1, int(took * 1e6)))
-            on_time[kind] += took <= AIM_S
-            if well:
-                healthy.record_value(max(1, int(took * 1e6)))
-        left -= 1
-        if left == 0:
+        recipient = f"{rng.choice(CLASSES)}@d{destination}.example"
+        reply = clients[number % 2].submit("a@load.example", recipient, content)
+        reply.addCallback(on_result, scheduled_s, destination >= args.silent)
+
+    def on_result(result: Any, scheduled_s: float, is_healthy: bool) -> None:
+        nonlocal pending
+        latency_s = time.monotonic() - scheduled_s
+        kind = "healthy" if is_healthy else "silent"
+        results[f"{kind} {type(result).__name__}"] += 1
+        if isinstance(result, Delivered):
+            all_latencies.record_value(max(1, int(latency_s * 1e6)))
+            on_time[kind] += latency_s <= OBJECTIVE_S
+            if is_healthy:
+                healthy_latencies.record_value(max(1, int(latency_s * 1e6)))
+        pending -= 1
+        if pending == 0:
             reactor.stop()
 
-    def step(number: int) -> None:
-        now = time.monotonic()
-        while number < total and began + number / args.rate <= now:
-            hand_in(number)
+    def submit_due(number: int) -> None:
+        now_s = time.monotonic()
+        while number < total and start_s + number / args.rate <= now_s:
+            submit(number)
             number += 1
         if number < total:
-            reactor.callLater(0.002, step, number)
+            reactor.callLater(0.002, submit_due, number)
 
-    reactor.callWhenRunning(step, 0)
+    reactor.callWhenRunning(submit_due, 0)
     reactor.callLater(args.seconds + 60, reactor.stop)
     reactor.run()
-    told = {f"p{p:g} ms": healthy.get_value_at_percentile(p) / 1000 for p in (50, 99, 99.9)}
+    latencies = {f"p{p:g} ms": healthy_latencies.get_value_at_percentile(p) / 1000 for p in (50, 99, 99.9)}
     share = {
-        kind: on_time[kind] / max(1, sum(n for k, n in answers.items() if k.startswith(kind)))
+        kind: on_time[kind] / max(1, sum(n for k, n in results.items() if k.startswith(kind)))
         for kind in ("healthy", "silent")
     }
-    print(json.dumps({"answers": answers, "on time": share, "healthy": told, "without answer": left}))
+    print(json.dumps({"answers": results, "on time": share, "healthy": latencies, "without answer": pending}))
 
 
 def main() -> None:
@@ -195,7 +201,7 @@
     args = parser.parse_args()
     if args.rate > 5000 or args.seconds > 600:
         parser.error("at most 5,000 a second for 600 seconds")
-    roles = {"partners": serve_partners, "forwarder": serve_forwarder, "load": load}
+    roles = {"partners": serve_partners, "forwarder": serve_forwarder, "load": run_load}
     if args.role:
         roles[args.role](args)
         return
@@ -220,8 +226,8 @@
             f" {args.silent} silent"
         )
         print(done.stdout.strip())
-        each = cpu / (args.rate * args.seconds) * 1e6
-        print(f"forwarder: {each:.0f} us CPU a message, peak {peak / 1024:.0f} MiB")
+        cpu_us = cpu / (args.rate * args.seconds) * 1e6
+        print(f"forwarder: {cpu_us:.0f} us CPU a message, peak {peak / 1024:.0f} MiB")
     finally:
         partners.terminate()
         forwarder.terminate()
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -1,8 +1,9 @@
-"""Guards that are taken out of the program, one at a time, and whether the laboratory's search finds each.
+"""Mutation test of the fault search: removes one safeguard at a time and checks that the search detects it.
 
     python -m benchmarks.mutants [--days 40] [--jobs 8]
 
-Every mutant runs drawn faults of one small scenario, seeds 1, 2, ... until one violates a rule or errs.
+Each mutant runs random faults of one small scenario with seeds 1, 2, ... until a run violates a rule or
+raises an exception.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 
 
 def make_config() -> lab.SimulationConfig:
-    """The rough scenario of the tests, with a second address for most endpoints."""
+    """Return the scenario of ``tests.mutants`` with a second address for most endpoints."""
     text = mutants.DAY % (2525, 2600, 2600)
     text = text.replace('station(name + "-a", port = 0)', f'station(name + "-a", port = 0, {SPOTS})')
     records = config.evaluate_script("mutants.star", text, SCENARIO_WORDS)
@@ -45,58 +46,66 @@
 
 
 def patch(owner: Any, name: str, make: Callable[[Any], Any]) -> None:
+    """Replace an attribute by what ``make`` returns for its present value."""
     setattr(owner, name, make(getattr(owner, name)))
 
 
 def return_always(value: Any) -> Callable[[Any], Any]:
+    """Return a factory for :func:`patch` whose function ignores its arguments and returns ``value``."""
     return lambda old: lambda *_, **__: value
 
 
 def reply_late() -> None:
+    """Delay final replies other than successes by one second."""
+
     def make(old: Any) -> Any:
-        def answer(self: Any, held: Any, final: Any) -> None:
-            delay = 0.0 if isinstance(final, Delivered) else 1.0
-            self.context.clock.callLater(delay, old, self, held, final)
+        def complete(self: Any, message: Any, result: Any) -> None:
+            delay_s = 0.0 if isinstance(result, Delivered) else 1.0
+            self.context.clock.callLater(delay_s, old, self, message, result)
 
-        return answer
+        return complete
 
     patch(Forwarder, "_complete", make)
 
 
 def keep_aborted_connections() -> None:
-    """A call that is aborted leaves its connection to the next one."""
+    """Keep the connections of aborted calls open for later calls."""
 
     def make(old: Any) -> Any:
-        def do(self: Any, steps: Any) -> None:
+        def execute(self: Any, steps: Any) -> None:
             old(self, [step for step in steps if not isinstance(step, CloseConnection)])
 
-        return do
+        return execute
 
     patch(mail_call.MailCall, "_execute", make)
 
 
 def move_after_data() -> None:
+    """Let a call move to another address after its content was written."""
+
     def make(old: Any) -> Any:
-        def commit(self: Any, now: int) -> None:
+        def on_content_written(self: Any, now: int) -> None:
             self._await_reply(now)
 
-        return commit
+        return on_content_written
 
     patch(ConnectionRace, "on_content_written", make)
 
 
 def skip_key_rest() -> None:
+    """Send the next message of an order key at once after an ambiguous result."""
     patch(Settings, "policy_settings", lambda old: lambda self: replace(old(self), ambiguous_key_rest_us=0))
 
 
 def remove_last_start() -> None:
+    """Start attempts up to two seconds after the deadline."""
     patch_decision(
         backoff, "latest_start_us", lambda old: lambda message, useful_us: message.expires_us + 2_000_000
     )
 
 
 def send_while_in_flight() -> None:
-    """A message that is in flight may be sent again."""
+    """Let a message that is in flight be sent again."""
 
     def make(old: Any) -> Any:
         def send(state: Any, message: Any, call: Any) -> None:
@@ -161,16 +170,16 @@
 
 
 def find_violation(name: str, days: int) -> str:
-    """The first seed whose run violates a rule, and which."""
+    """Apply a mutant; return the first seed that detects it, and the violated rules or the error."""
     MUTANTS[name]()
     if name != "none":
-        disable_guard()  # else it would refuse what most of them do wrong
-    day = make_config()
+        disable_guard()  # the guard would prevent the faults of most mutants
+    simulation = make_config()
     for seed in range(1, days + 1):
-        found = fault_search.run_and_check(fault_search.draw_faults(day, seed))
-        if found.violated_rules or found.error:
-            return f"seed {seed}: {found.error[:70] or ', '.join(found.violated_rules)}"
-    return f"not found in {days} days"
+        result = fault_search.run_and_check(fault_search.draw_faults(simulation, seed))
+        if result.violated_rules or result.error:
+            return f"seed {seed}: {result.error[:70] or ', '.join(result.violated_rules)}"
+    return f"not found in {days} runs"
 
 
 def main() -> None:
@@ -182,7 +191,7 @@
     if args.one:
         print(find_violation(args.one, args.days))
         return
-    began = time.monotonic()
+    started_s = time.monotonic()
 
     def run(name: str) -> str:
         command = [sys.executable, "-m", "benchmarks.mutants", "--one", name, "--days", str(args.days)]
@@ -192,7 +201,7 @@
     with ThreadPoolExecutor(args.jobs) as threads:
         for name, text in zip(MUTANTS, threads.map(run, MUTANTS), strict=True):
             print(f"{name:40} {text}", flush=True)
-    print(f"{time.monotonic() - began:.0f} s")
+    print(f"{time.monotonic() - started_s:.0f} s")
 
 
 if __name__ == "__main__":
--- a/benchmarks/ordinary_path.py
+++ b/benchmarks/ordinary_path.py
@@ -1,7 +1,7 @@
-"""Messages a second and CPU a message on the ordinary path, beside a bare relay without decisions.
+"""Benchmark of the fault-free path: throughput and CPU time per message, compared with a plain relay.
 
-Both run in one process each, one after the other, against the same stand-in partner and load, in the
-same run; figures of different machines or runs should be compared by their ratio alone.
+The relay makes no decisions. Relay and forwarder run one after the other, each in a process of its own, with
+the same stand-in partner and load. Compare runs or machines only by the ratio of the two.
 
     python -m benchmarks.ordinary_path [--messages 4000] [--connections 20] [--destinations 20]
 """
@@ -41,8 +41,8 @@
 """
 
 
-class Quiet:
-    """A log for nobody."""
+class NullLogger:
+    """Logger that drops everything."""
 
     def debug(self, event: str, **fields: Any) -> None: ...
 
@@ -50,7 +50,7 @@
 
 
 class Sink(Protocol):
-    """A partner that takes everything at once."""
+    """Partner that accepts everything without a delay."""
 
     transport: Any = None
 
@@ -70,35 +70,35 @@
 
 
 class Relay(Sink):
-    """The same protocols without decisions: each message at once to the partner, its reply to the client."""
+    """Relay without decisions: forwards each message at once and passes the reply on to the client."""
 
     pool: MailConnectionPool
     port = 0
 
     def dataReceived(self, data: bytes) -> None:
         self.session.receive(data)
-        self.work()
+        self.process_events()
 
-    def work(self) -> None:
+    def process_events(self) -> None:
         while (event := self.session.next_event()) is not None:
             if isinstance(event, mail.Message):
                 payload = MailPayload(event.sender, event.recipients[0], event.content)
                 call = self.pool.call(
                     "sink", [Address("127.0.0.1", self.port)], payload, 30_000_000, FakePermit()
                 )
-                call.addCallback(self.called)
+                call.addCallback(self.on_call_finished)
             elif isinstance(event, mail.Sender | mail.Recipient):
                 self.session.answer(mail.Reply(250, "2.0.0", "ok"))
         self.transport.write(self.session.take_output())
 
-    def called(self, outcome: Any) -> None:
+    def on_call_finished(self, outcome: Any) -> None:
         code = 250 if outcome.status is AttemptStatus.OK else 451
         self.session.answer(mail.Reply(code, "2.0.0" if code == 250 else "4.0.0", "done"))
-        self.work()
+        self.process_events()
 
 
 class Source(Protocol):
-    """A client that hands one message in after another."""
+    """Client that submits one message after another."""
 
     transport: Any = None
 
@@ -109,10 +109,10 @@
     def dataReceived(self, data: bytes) -> None:
         for event in self.session.receive(data):
             if isinstance(event, mail.RecipientAnswered):
-                self.load.answered(event.reply.code)
+                self.load.record_reply(event.reply.code)
             if (
                 isinstance(event, mail.Ready | mail.RecipientAnswered)
-                and (number := self.load.next()) is not None
+                and (number := self.load.take_next()) is not None
             ):
                 recipient = mail.Path("note", f"d{number % self.load.destinations}.example")
                 self.session.send(mail.Path("a", "b.example"), recipient, self.load.content)
@@ -120,39 +120,42 @@
 
 
 class Load:
-    """How many messages are left to hand in."""
+    """Messages to submit, and the reply codes received."""
 
     def __init__(self, messages: int, destinations: int) -> None:
-        self.left, self.destinations = messages, destinations
+        self.unsent, self.destinations = messages, destinations
         self.codes: dict[int, int] = {}
-        self.due = messages
+        self.unanswered = messages
         self.content = b"Subject: bench\r\n\r\n" + b"x" * 70 + b"\r\n"
 
-    def next(self) -> int | None:
-        if self.left == 0:
+    def take_next(self) -> int | None:
+        """Return the number of the next message, or ``None`` if all were taken."""
+        if self.unsent == 0:
             return None
-        self.left -= 1
-        return self.left
+        self.unsent -= 1
+        return self.unsent
 
-    def answered(self, code: int) -> None:
+    def record_reply(self, code: int) -> None:
+        """Count a reply; stop the reactor after the last one."""
         self.codes[code] = self.codes.get(code, 0) + 1
-        self.due -= 1
-        if self.due == 0:
+        self.unanswered -= 1
+        if self.unanswered == 0:
             reactor.stop()
 
 
-def factory(make: Any, base: Any = Factory) -> Any:
-    made = base()
-    made.noisy = False
-    made.buildProtocol = lambda addr: make()
-    return made
+def make_factory(make_protocol: Any, base: Any = Factory) -> Any:
+    """Return a factory whose connections get the protocols returned by ``make_protocol``."""
+    factory = base()
+    factory.noisy = False
+    factory.buildProtocol = lambda addr: make_protocol()
+    return factory
 
 
 def serve(kind: str, destinations: int, sink: int) -> None:
-    """One of the two servers, until its standard input ends; then its CPU time."""
+    """Run a server and print its port. For each of two lines on standard input, print its CPU time."""
     if kind == "relay":
         Relay.pool, Relay.port = MailConnectionPool(reactor, reactor, "bench.example", PoolConfig(64)), sink
-        port = reactor.listenTCP(0, factory(Relay), interface="127.0.0.1").getHost().port
+        port = reactor.listenTCP(0, make_factory(Relay), interface="127.0.0.1").getHost().port
     else:
         settings = config.find_one(config.evaluate_script("bench", SCRIPT), Settings, __file__)  # type: ignore[arg-type]
         service = Service(
@@ -164,7 +167,7 @@
             1,
             lambda: None,
             lambda data: None,
-            Quiet(),
+            NullLogger(),
             lambda error: reactor.stop(),
         )
         service.register.subscribe = lambda: None  # type: ignore[method-assign]
@@ -182,11 +185,11 @@
             EndpointEntry(target=f"t{i}", destination=i, state="ready", addresses=(address,))
             for i in range(destinations)
         )
-        news = ListUpdate(kind="full", version=1, partners=partners, endpoints=rows)
-        service.handle_list_update(service.directory.apply(news))
+        update = ListUpdate(kind="full", version=1, partners=partners, endpoints=rows)
+        service.handle_list_update(service.directory.apply(update))
     print(port, flush=True)
 
-    def tell() -> None:
+    def report_on_request() -> None:
         sys.stdin.readline()
         usage = resource.getrusage(resource.RUSAGE_SELF)
         print(json.dumps(usage.ru_utime + usage.ru_stime), flush=True)
@@ -195,46 +198,47 @@
         print(json.dumps(usage.ru_utime + usage.ru_stime), flush=True)
         reactor.callFromThread(reactor.stop)
 
-    reactor.callInThread(tell)
+    reactor.callInThread(report_on_request)
     reactor.run()
 
 
 def measure(kind: str, args: argparse.Namespace, sink: int) -> dict[str, float]:
-    """One server's figures, in a process of its own, with the load in another."""
+    """Measure one server, in a new process, with the load from another one."""
     command = [sys.executable, "-m", "benchmarks.ordinary_path"]
-    more = ["--destinations", str(args.destinations), "--sink", str(sink)]
+    options = ["--destinations", str(args.destinations), "--sink", str(sink)]
     server = subprocess.Popen(
-        [*command, "--serve", kind, *more], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
+        [*command, "--serve", kind, *options], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
     )
     assert server.stdin and server.stdout
     port = int(server.stdout.readline())
-    load = [*command, "--load", str(port), "--connections", str(args.connections), *more]
+    load = [*command, "--load", str(port), "--connections", str(args.connections), *options]
     subprocess.run([*load, "--messages", "500"], check=True, stdout=subprocess.DEVNULL)
     server.stdin.write("\n")
     server.stdin.flush()
-    before = float(server.stdout.readline())
+    before_s = float(server.stdout.readline())
     done = subprocess.run(
         [*load, "--messages", str(args.messages)], check=True, capture_output=True, text=True
     )
-    wall, codes = json.loads(done.stdout)
+    duration_s, codes = json.loads(done.stdout)
     server.stdin.write("\n")
     server.stdin.flush()
-    cpu = float(server.stdout.readline()) - before
+    cpu_s = float(server.stdout.readline()) - before_s
     server.wait()
     return {
-        "messages a second": args.messages / wall,
-        "CPU us a message": cpu / args.messages * 1e6,
+        "messages a second": args.messages / duration_s,
+        "CPU us a message": cpu_s / args.messages * 1e6,
         "delivered": codes.get("250", 0),
     }
 
 
 def run_load(args: argparse.Namespace) -> None:
+    """Submit all messages, and print the duration and the reply codes as JSON."""
     load = Load(args.messages, args.destinations)
-    began = time.monotonic()
+    started_s = time.monotonic()
     for _ in range(args.connections):
-        reactor.connectTCP("127.0.0.1", args.load, factory(lambda: Source(load), ClientFactory))
+        reactor.connectTCP("127.0.0.1", args.load, make_factory(lambda: Source(load), ClientFactory))
     reactor.run()
-    print(json.dumps([time.monotonic() - began, load.codes]))
+    print(json.dumps([time.monotonic() - started_s, load.codes]))
 
 
 def main() -> None:
@@ -250,7 +254,7 @@
     if args.messages > 1_000_000 or args.connections > 500:
         parser.error("at most a million messages on 500 connections")
     if args.serve == "sink":
-        print(reactor.listenTCP(0, factory(Sink), interface="127.0.0.1").getHost().port, flush=True)
+        print(reactor.listenTCP(0, make_factory(Sink), interface="127.0.0.1").getHost().port, flush=True)
         reactor.run()
         return
     if args.serve:
@@ -266,16 +270,21 @@
         port = int(sink.stdout.readline())
         print(f"{os.cpu_count()} processors, {args.messages} messages, {args.connections} connections,")
         print(f"{args.destinations} destinations, each server one process on one core")
-        ratios, extra = [], []
+        relay_ratios, observer_ratios = [], []
         for _ in range(args.rounds):
             relay, forwarder = measure("relay", args, port), measure("forwarder", args, port)
             observed = measure("observed", args, port)
-            extra.append(observed["CPU us a message"] / forwarder["CPU us a message"])
+            observer_ratios.append(observed["CPU us a message"] / forwarder["CPU us a message"])
             for name, figures in (("relay", relay), ("forwarder", forwarder), ("observed", observed)):
                 print(f"{name:10}", ", ".join(f"{key} {value:.0f}" for key, value in figures.items()))
-            ratios.append(forwarder["CPU us a message"] / relay["CPU us a message"])
-        print("forwarder / relay, CPU a message: " + ", ".join(f"{ratio:.2f}" for ratio in sorted(ratios)))
-        print("with numbers, and spans of a tenth / without: " + ", ".join(f"{r:.2f}" for r in sorted(extra)))
+            relay_ratios.append(forwarder["CPU us a message"] / relay["CPU us a message"])
+        print(
+            "forwarder / relay, CPU a message: " + ", ".join(f"{ratio:.2f}" for ratio in sorted(relay_ratios))
+        )
+        print(
+            "with metrics and a tenth of the traces / without: "
+            + ", ".join(f"{r:.2f}" for r in sorted(observer_ratios))
+        )
     finally:
         sink.terminate()
 
