--- a/benchmarks/zone_lost.py
+++ b/benchmarks/zone_lost.py
@@ -1,8 +1,8 @@
-"""A zone fails: the fleet against each forwarder for itself, and against a fleet that returns all at once.
+"""Simulation of a zone outage: a fleet, single forwarders, and a fleet without a staggered return.
 
-Whole forwarders in simulated time against stand-in partners; the same seeds for all three. What is counted
-stands in the partners' and the forwarders' own logs. Ratios within one run are meant, not the figures by
-themselves.
+Complete forwarders run in simulated time against stand-in partners, with the same seeds for all three
+policies. Figures come from the event logs of partners and forwarders. Compare policies by ratios within one
+run only.
 
     python -m benchmarks.zone_lost --forwarders 9 --seeds 1,2,3 --jobs 3
     python -m benchmarks.zone_lost --forwarders 200 --seeds 1 --jobs 3
@@ -22,7 +22,7 @@
 from honeybarrow.rehearsal import SCENARIO_WORDS, Scenario
 
 SECOND = 1_000_000
-AT_S, LAST_S, LENGTH_S, COLD_S = 10, 12, 45, 6
+OUTAGE_START_S, OUTAGE_S, RUN_S, WARM_UP_S = 10, 12, 45, 6
 
 DAY = """
 classes = [
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """One day for one policy: alone, fleet or at once."""
+    """Run to simulate; ``policy`` is ``alone``, ``fleet`` or ``at once``."""
 
     forwarder_count: int
     fault: str
@@ -88,35 +88,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """What a day came to; times in seconds."""
+    """Results of a run; times in seconds."""
 
     job: Job
     utility: float
-    failed_calls: int  # calls into the zone that failed, from its failing till it serves
-    late_failed_calls: (
-        int  # of them those sent once the last member ejected it, or 3 s after the first failure
-    )
+    failed_calls: int  # failed calls to the zone during the outage
+    late_failed_calls: int  # those of them sent after the last member ejected the zone
     last_ejection_s: float
-    load_over_capacity: float  # greatest calls in half a second after the return, over what a cold zone bears
-    half_load_s: float  # till the zone carries half of its share again, from when it serves
+    load_over_capacity: float  # maximum after the outage, in windows of half a second
+    half_load_s: float  # time after the outage until the zone has half of its usual load
     has_kept_rules: bool
     duration_s: float
 
 
 def play_job(job: Job) -> Measurement:
-    """Play one day under one policy."""
-    zones_ = '["a", "b", "c"]' if job.forwarder_count < 100 else '["r1/a", "r1/b", "r2/c", "r2/d"]'
+    """Simulate one run."""
+    zones = '["a", "b", "c"]' if job.forwarder_count < 100 else '["r1/a", "r1/b", "r2/c", "r2/d"]'
     partners = list(range(1, 7 if job.forwarder_count < 100 else 21))
     text = DAY % {
-        "zones": zones_,
+        "zones": zones,
         "numbers": list(range(1, job.forwarder_count + 1)),
         "partners": partners,
         "count": job.forwarder_count,
         "rate": 22.0 * (1 if job.forwarder_count < 100 else 8),
-        "cold": COLD_S,
-        "at": AT_S,
-        "last": LAST_S,
-        "length": LENGTH_S,
+        "cold": WARM_UP_S,
+        "at": OUTAGE_START_S,
+        "last": OUTAGE_S,
+        "length": RUN_S,
         "how": job.fault,
     }
     records = config.evaluate_script("day.star", text, SCENARIO_WORDS)
@@ -126,49 +124,55 @@
         forwarders = tuple(msgspec.structs.replace(each, fleet=None) for each in forwarders)
     if job.policy == "at once":
         zone_recovery.return_delay_us = lambda rank, config: 0
-    day = lab.SimulationConfig(scenario, forwarders, keep_trace=True, log_level="debug").with_seed(job.seed)
-    result = lab.run_simulation(day)
+    simulation = lab.SimulationConfig(scenario, forwarders, keep_trace=True, log_level="debug").with_seed(
+        job.seed
+    )
+    result = lab.run_simulation(simulation)
     return measure_result(job, result)
 
 
 def measure_result(job: Job, result: lab.SimulationResult) -> Measurement:
-    """Read the trace. The world's clock begins at one second."""
-    fails, serves = (AT_S + 1) * SECOND, (AT_S + LAST_S + 1) * SECOND
-    ours = ("-b", "-r1.b")
-    sent: dict[tuple[str, int], int] = {}
-    failed: list[tuple[int, int]] = []  # when sent, when known
-    arrived: list[int] = []
+    """Compute the results of a run from its trace. The simulated clock starts at one second.
+
+    If no member ejected the zone, calls count as late three seconds after the first known failure.
+    """
+    down_us, up_us = (OUTAGE_START_S + 1) * SECOND, (OUTAGE_START_S + OUTAGE_S + 1) * SECOND
+    zone_suffixes = ("-b", "-r1.b")
+    sent_us: dict[tuple[str, int], int] = {}
+    failed: list[tuple[int, int]] = []  # times of sending and of the failure
+    arrivals_us: list[int] = []
     ejected_us: list[int] = []
     for row in result.trace:
-        what = row["what"]
-        if what == "attempt_started" and row["target"].endswith(ours):
-            sent[row["message"], row["attempt"]] = row["at"]
-        elif what == "attempt_finished" and row["target"].endswith(ours) and row["status"] != "ok":
-            at = sent.get((row["message"], row["attempt"]), 0)
-            if fails - 100_000 <= at < serves:
-                failed.append((at, row["at"]))
-        elif what == "call" and row["target"].endswith(ours):
-            arrived.append(row["at"])
-        elif what == "zone_ejected" and row["epoch"] == 1 and not row["source_zone"]:
+        event = row["what"]
+        if event == "attempt_started" and row["target"].endswith(zone_suffixes):
+            sent_us[row["message"], row["attempt"]] = row["at"]
+        elif event == "attempt_finished" and row["target"].endswith(zone_suffixes) and row["status"] != "ok":
+            at_us = sent_us.get((row["message"], row["attempt"]), 0)
+            if down_us - 100_000 <= at_us < up_us:
+                failed.append((at_us, row["at"]))
+        elif event == "call" and row["target"].endswith(zone_suffixes):
+            arrivals_us.append(row["at"])
+        elif event == "zone_ejected" and row["epoch"] == 1 and not row["source_zone"]:
             ejected_us.append(row["at"])
-    first = min((known for _, known in failed), default=0)
-    last = max(ejected_us, default=first + 3 * SECOND)
-    usual = sum(5 * SECOND < at < fails for at in arrived) / (fails - 5 * SECOND)  # calls a microsecond
-    over, back = 0.0, float(LENGTH_S)
-    for start in range(serves, (LENGTH_S + 1) * SECOND - SECOND // 2, SECOND // 4):
-        load = sum(start <= at < start + SECOND // 2 for at in arrived) / (SECOND // 2)
-        bears = min(1.0, 0.2 + 0.8 * (start - serves) / (COLD_S * SECOND)) * usual
-        over = max(over, load / bears)
-        if load >= usual / 2:
-            back = min(back, (start - serves) / SECOND)
+    first_failure_us = min((known_us for _, known_us in failed), default=0)
+    last_ejection_us = max(ejected_us, default=first_failure_us + 3 * SECOND)
+    # Loads are in calls per microsecond.
+    usual_load = sum(5 * SECOND < at_us < down_us for at_us in arrivals_us) / (down_us - 5 * SECOND)
+    max_overload, half_load_s = 0.0, float(RUN_S)
+    for start_us in range(up_us, (RUN_S + 1) * SECOND - SECOND // 2, SECOND // 4):
+        load = sum(start_us <= at_us < start_us + SECOND // 2 for at_us in arrivals_us) / (SECOND // 2)
+        capacity = min(1.0, 0.2 + 0.8 * (start_us - up_us) / (WARM_UP_S * SECOND)) * usual_load
+        max_overload = max(max_overload, load / capacity)
+        if load >= usual_load / 2:
+            half_load_s = min(half_load_s, (start_us - up_us) / SECOND)
     return Measurement(
         job,
         result.utility,
         len(failed),
-        sum(at > last + SECOND // 20 for at, _ in failed),
-        (last - first) / SECOND if ejected_us else float("nan"),
-        over,
-        back,
+        sum(at_us > last_ejection_us + SECOND // 20 for at_us, _ in failed),
+        (last_ejection_us - first_failure_us) / SECOND if ejected_us else float("nan"),
+        max_overload,
+        half_load_s,
         result.rule_check.has_passed,
         result.elapsed_s,
     )
@@ -180,23 +184,23 @@
 @click.option("--how", default="mute,refuse")
 @click.option("--jobs", default=3)
 def main(forwarders: int, seeds: str, how: str, jobs: int) -> None:
-    """Play and print."""
-    work = [
+    """Run the simulations and print the results."""
+    planned = [
         Job(forwarders, each, seed, policy)
         for each in how.split(",")
         for seed in map(int, seeds.split(","))
         for policy in ("alone", "at once", "fleet")
     ]
     with ProcessPoolExecutor(jobs, max_tasks_per_child=1) as pool:
-        for found in pool.map(play_job, work):
-            job = found.job
+        for row in pool.map(play_job, planned):
+            job = row.job
             click.echo(
                 f"{job.forwarder_count:4} forwarders, {job.fault:6} seed {job.seed} {job.policy:8}"
-                f" failed {found.failed_calls:5} (late {found.late_failed_calls:4})"
-                f"  utility {found.utility:.4f}  last ejected {found.last_ejection_s:5.2f} s"
-                f"  load over capacity {found.load_over_capacity:5.2f}"
-                f"  half load {found.half_load_s:5.2f} s"
-                f"  rules {'held' if found.has_kept_rules else 'BROKEN'} ({found.duration_s:.0f} s)"
+                f" failed {row.failed_calls:5} (late {row.late_failed_calls:4})"
+                f"  utility {row.utility:.4f}  last ejected {row.last_ejection_s:5.2f} s"
+                f"  load over capacity {row.load_over_capacity:5.2f}"
+                f"  half load {row.half_load_s:5.2f} s"
+                f"  rules {'held' if row.has_kept_rules else 'BROKEN'} ({row.duration_s:.0f} s)"
             )
 
 
--- a/benchmarks/zone_verdicts.py
+++ b/benchmarks/zone_verdicts.py
@@ -1,4 +1,4 @@
-"""How soon a fleet ejects a zone that fails, and how often one that serves: a model of members and calls.
+"""Benchmark of zone ejection in simulation: time until a fleet ejects a failed zone, and false ejections.
 
 python -m benchmarks.zone_verdicts --sizes 9,50,200 --seeds 10 --quiet-days 200 --jobs 4
 """
@@ -21,15 +21,18 @@
 
 
 def measure_failing_zone(job: tuple[int, str, int]) -> tuple[int, int, int, int, float]:
-    """Return microseconds from the first known failure till the first and the last member ejected the zone,
-    failed calls before the last did, failed calls after, and datagrams a second a member."""
-    size, how, seed = job
-    status, took = STATUSES[how]
-    rng = random.Random(f"{size}/{how}/{seed}")
-    at = int(rng.uniform(12, 14) * SECOND)
-    fault = ZoneFault("z1", at, 12 * SECOND, status=status, call_duration_us=took)
+    """Measure the ejection of a failed zone. ``job``: number of members, kind of failure, seed.
+
+    Returns the microseconds from the first detected failure until the first and the last member ejected the
+    zone, the failed calls before and after the last ejection, and the datagrams per second of each member.
+    """
+    size, failure, seed = job
+    status, call_duration_us = STATUSES[failure]
+    rng = random.Random(f"{size}/{failure}/{seed}")
+    start_us = int(rng.uniform(12, 14) * SECOND)
+    fault = ZoneFault("z1", start_us, 12 * SECOND, status=status, call_duration_us=call_duration_us)
     zones = tuple(f"z{n}" for n in range(3 if size < 100 else 4))
-    plan = ClusterConfig(
+    config = ClusterConfig(
         zones,
         size,
         6 if size < 100 else 20,
@@ -38,27 +41,27 @@
         call_loss=0.002,
         faults=(fault,),
     )
-    fleet = GossipCluster(plan, seed)
+    fleet = GossipCluster(config, seed)
     fleet.run(24)
-    firsts: dict[str, int] = {}
-    for when, who, _ in fleet.log_events_named("zone_ejected"):
-        firsts.setdefault(who, when)
-    ejected_us = list(firsts.values())
-    failed = [c for c in fleet.calls_to("z1", at) if c.is_lost]
-    first = failed[0].sent_us + took
-    before = sum(c.sent_us < max(ejected_us) for c in failed)
-    assert len(ejected_us) == size, f"{len(ejected_us)} of {size} ejected it ({job})"
+    first_ejections_us: dict[str, int] = {}
+    for at_us, member, _ in fleet.log_events_named("zone_ejected"):
+        first_ejections_us.setdefault(member, at_us)
+    ejected_us = list(first_ejections_us.values())
+    failed = [c for c in fleet.calls_to("z1", start_us) if c.is_lost]
+    first_failure_us = failed[0].sent_us + call_duration_us
+    failed_before = sum(c.sent_us < max(ejected_us) for c in failed)
+    assert len(ejected_us) == size, f"{len(ejected_us)} of {size} members ejected the zone ({job})"
     return (
-        min(ejected_us) - first,
-        max(ejected_us) - first,
-        before,
-        len(failed) - before,
+        min(ejected_us) - first_failure_us,
+        max(ejected_us) - first_failure_us,
+        failed_before,
+        len(failed) - failed_before,
         fleet.record.datagrams_sent / 24 / size,
     )
 
 
-def play_quiet_day(seed: int) -> tuple[int, list[str]]:
-    """Play a drawn day on which no zone fails; return its seed and the zones that were ejected even so."""
+def run_without_zone_fault(seed: int) -> tuple[int, list[str]]:
+    """Simulate random faults in which no zone fails; return the seed and the zones that were ejected."""
     rng = random.Random(f"quiet/{seed}")
     size = rng.choice([6, 9, 12, 20])
     faults = [
@@ -68,9 +71,9 @@
             int(rng.uniform(2, 20) * SECOND),
             partners=(rng.randrange(6),),
             status=status,
-            call_duration_us=took,
+            call_duration_us=call_duration_us,
         )
-        for status, took in rng.choices(list(STATUSES.values()), k=2)
+        for status, call_duration_us in rng.choices(list(STATUSES.values()), k=2)
     ]
     fleet = GossipCluster(
         ClusterConfig(
@@ -86,7 +89,7 @@
         fleet.run(5)
         if rng.random() < 0.5:
             fleet.pause_member(rng.choice(fleet.names), int(rng.uniform(1, 6) * SECOND))
-    return seed, sorted({note.path for _, _, note in fleet.log_events_named("zone_ejected")})
+    return seed, sorted({event.path for _, _, event in fleet.log_events_named("zone_ejected")})
 
 
 @click.command()
@@ -95,21 +98,23 @@
 @click.option("--quiet-days", default=200)
 @click.option("--jobs", default=4)
 def main(sizes: str, seeds: int, quiet_days: int, jobs: int) -> None:
-    """Play and print."""
+    """Run the simulations and print the results."""
     with ProcessPoolExecutor(jobs) as pool:
         for size in map(int, sizes.split(",")):
-            for how in STATUSES:
-                rows = list(pool.map(measure_failing_zone, [(size, how, seed) for seed in range(seeds)]))
-                last = sorted(row[1] / SECOND for row in rows)
+            for kind in STATUSES:
+                rows = list(pool.map(measure_failing_zone, [(size, kind, seed) for seed in range(seeds)]))
+                times = sorted(row[1] / SECOND for row in rows)
                 click.echo(
-                    f"{size:4} members, {how:8} first {min(r[0] for r in rows) / SECOND:.2f} s, last ejected"
-                    f" {last[len(last) // 2]:.2f} s (worst {last[-1]:.2f} s) after the first known failure;"
+                    f"{size:4} members, {kind:8} first {min(r[0] for r in rows) / SECOND:.2f} s,"
+                    f" last ejected {times[len(times) // 2]:.2f} s (worst {times[-1]:.2f} s) after the first known failure;"
                     f" failed calls before {sum(r[2] for r in rows) / seeds:.0f},"
                     f" after {sum(r[3] for r in rows) / seeds:.0f};"
                     f" {sum(r[4] for r in rows) / seeds:.1f} datagrams a second a member"
                 )
-        wrong = [row for row in pool.map(play_quiet_day, range(quiet_days)) if row[1]]
-        click.echo(f"{quiet_days} days on which no zone fails: {len(wrong)} with a zone ejected {wrong[:10]}")
+        ejected = [row for row in pool.map(run_without_zone_fault, range(quiet_days)) if row[1]]
+        click.echo(
+            f"{quiet_days} runs in which no zone fails: {len(ejected)} with a zone ejected {ejected[:10]}"
+        )
 
 
 if __name__ == "__main__":
