--- a/benchmarks/zone_verdicts.py
+++ b/benchmarks/zone_verdicts.py
@@ -106,7 +106,8 @@
                 times = sorted(row[1] / SECOND for row in rows)
                 click.echo(
                     f"{size:4} members, {kind:8} first {min(r[0] for r in rows) / SECOND:.2f} s,"
-                    f" last ejected {times[len(times) // 2]:.2f} s (worst {times[-1]:.2f} s) after the first known failure;"
+                    f" last ejected {times[len(times) // 2]:.2f} s (worst {times[-1]:.2f} s)"
+                    " after the first known failure;"
                     f" failed calls before {sum(r[2] for r in rows) / seeds:.0f},"
                     f" after {sum(r[3] for r in rows) / seeds:.0f};"
                     f" {sum(r[4] for r in rows) / seeds:.1f} datagrams a second a member"
