--- a/benchmarks/addresses.py
+++ b/benchmarks/addresses.py
@@ -38,6 +38,9 @@
 from honeybarrow.settings import DestinationKind, Idempotency, MessageClass, Settings
 
 reactor = get_reactor()
+# Faults of an address: it resets connections (refuse), lets connects hang (hole), sends no greeting (mute) or
+# no reply to EHLO, MAIL, RCPT or the end of data (hello, mail, data, dot), resets connections after RCPT
+# (cut), refuses every other second (flap), or rejects connections with 421 (full).
 FAULT_MODES = ("healthy", "refuse", "hole", "mute", "hello", "mail", "data", "dot", "cut", "flap", "full")
 SERVICE_S = 0.02
 OBJECTIVE_S, DEADLINE_S = 2.0, 8.0
--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -49,6 +49,7 @@
     ),
     MessageClass("pay", 3 * SECOND, 20 * SECOND, Idempotency.NON_IDEMPOTENT, late_utility=0.5),
 )
+# Traffic over the senders, or a disturbance: restarts of senders, or a limit halved from the outage on.
 SHAPES = ("even", "one with most", "restarts", "limits lowered")
 OUTAGES = ("refused", "silent", "shut")
 LATENCY_RANGE_US = (4_000, 15_000)  # of the network, one way
@@ -129,7 +130,7 @@
         """Run the simulation."""
         for number in range(self.scenario.senders):
             self.handle(number, MembershipUpdate(UpdateKind.FULL, 1, self.rows))
-        self.schedule(0, self.client)
+        self.schedule(0, self.create_message)
         if self.scenario.shape == "restarts":
             for number in range(0, self.scenario.senders, 3):
                 at_us = self.recovered_us + self.rng.uniform(-2.0, 3.0) * SECOND
@@ -139,9 +140,9 @@
             callback()
         return self.find_worst_window()
 
-    def client(self) -> None:
+    def create_message(self) -> None:
         """Create a message for one of the senders, and schedule the next one."""
-        self.schedule(self.now_us + self.rng.expovariate(self.messages_per_s) * SECOND, self.client)
+        self.schedule(self.now_us + self.rng.expovariate(self.messages_per_s) * SECOND, self.create_message)
         number = self.rng.choices(range(self.scenario.senders), self.traffic_weights)[0]
         message_class = self.rng.choices(CLASSES, (0.5, 0.37, 0.13))[0]
         message_id = f"{number}.{self.incarnations[number]}.{self.now_us}.{self.rng.random()}"
--- a/benchmarks/load_front.py
+++ b/benchmarks/load_front.py
@@ -55,7 +55,7 @@
     """Session of any partner, on one port for all: replies after 60 to 140 ms, or never if it is silent."""
 
     transport: Any = None
-    silent = 0
+    silent = 0  # number of silent destinations
 
     def __init__(self) -> None:
         self.session = mail.ServerSession("partner.example")
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -169,17 +169,17 @@
 }
 
 
-def find_violation(name: str, days: int) -> str:
+def find_violation(name: str, max_runs: int) -> str:
     """Apply a mutant; return the first seed that detects it, and the violated rules or the error."""
     MUTANTS[name]()
     if name != "none":
         disable_guard()  # the guard would prevent the faults of most mutants
     simulation = make_config()
-    for seed in range(1, days + 1):
+    for seed in range(1, max_runs + 1):
         result = fault_search.run_and_check(fault_search.draw_faults(simulation, seed))
         if result.violated_rules or result.error:
             return f"seed {seed}: {result.error[:70] or ', '.join(result.violated_rules)}"
-    return f"not found in {days} runs"
+    return f"not found in {max_runs} runs"
 
 
 def main() -> None:
--- a/benchmarks/zone_lost.py
+++ b/benchmarks/zone_lost.py
@@ -24,7 +24,7 @@
 SECOND = 1_000_000
 OUTAGE_START_S, OUTAGE_S, RUN_S, WARM_UP_S = 10, 12, 45, 6
 
-DAY = """
+SCENARIO_TEMPLATE = """
 classes = [
     message_class("status", aim = "2s", deadline = "8s", late_share = 0.4),
     message_class("posting", aim = "2s", deadline = "10s", effect = "keyed", window = "5s", worth = 3.0),
@@ -105,7 +105,7 @@
     """Simulate one run."""
     zones = '["a", "b", "c"]' if job.forwarder_count < 100 else '["r1/a", "r1/b", "r2/c", "r2/d"]'
     partners = list(range(1, 7 if job.forwarder_count < 100 else 21))
-    text = DAY % {
+    text = SCENARIO_TEMPLATE % {
         "zones": zones,
         "numbers": list(range(1, job.forwarder_count + 1)),
         "partners": partners,
--- a/honeybarrow/rehearsal/event_log.py
+++ b/honeybarrow/rehearsal/event_log.py
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EventLogEntry:
-    """One event: its time in microseconds on the rehearsal's clock, source, kind and fields."""
+    """Recorded event: time in microseconds on the rehearsal's clock, source, kind and fields."""
 
     at_us: int
     source: str
--- a/honeybarrow/rehearsal/fault_injection.py
+++ b/honeybarrow/rehearsal/fault_injection.py
@@ -226,14 +226,14 @@
     def buildProtocol(self, addr: Any) -> _RelayConnection | None:
         if len(self.relays.connections) >= MAX_STREAMS:
             return None
-        near = _RelayConnection(self.relays, self.sender, self.receiver)
+        downstream = _RelayConnection(self.relays, self.sender, self.receiver)
         outbound = self.relays.link_condition(self.sender, self.receiver)
         inbound = self.relays.link_condition(self.receiver, self.sender)
         if outbound.is_cut or inbound.is_cut:
-            near.is_blackholed = True  # the kernel has accepted the connection already
+            downstream.is_blackholed = True  # the kernel has accepted the connection already
         else:
-            self.relays.reactor.connectTCP(*self.receiver_address, _UpstreamFactory(near), timeout=5)
-        return near
+            self.relays.reactor.connectTCP(*self.receiver_address, _UpstreamFactory(downstream), timeout=5)
+        return downstream
 
 
 class _UpstreamFactory(ClientFactory):
@@ -241,12 +241,14 @@
 
     noisy = False
 
-    def __init__(self, near: _RelayConnection) -> None:
-        self.near = near
+    def __init__(self, downstream: _RelayConnection) -> None:
+        self.downstream = downstream
 
     def buildProtocol(self, addr: Any) -> _RelayConnection:
-        return _RelayConnection(self.near.relays, self.near.receiver, self.near.sender, self.near)
+        return _RelayConnection(
+            self.downstream.relays, self.downstream.receiver, self.downstream.sender, self.downstream
+        )
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        if not self.near.is_closed:
-            self.near.transport.abortConnection()
+        if not self.downstream.is_closed:
+            self.downstream.transport.abortConnection()
--- a/honeybarrow/rehearsal/rule_checker.py
+++ b/honeybarrow/rehearsal/rule_checker.py
@@ -19,7 +19,7 @@
 from honeybarrow.rehearsal.submissions import NEVER, Submission, collect_submissions, compute_figures
 from honeybarrow.rehearsal.zone_outages import find_zone_outages
 
-SLACK_US = 150_000
+SLACK_US = 150_000  # tolerated delay between an action and its entry in the event log
 SECOND_US = 1_000_000
 CRASH_REPORT_US = SECOND_US  # time within which clients notice that a forwarder was killed
 COLLAPSE_MARGIN = 3  # calls above its budget that a partner tolerates while it warms up
@@ -49,7 +49,7 @@
         self, entries: Iterable[EventLogEntry], scenario: Scenario, forwarder: ForwarderConfig
     ) -> None:
         self.entries = sorted(entries, key=lambda entry: entry.at_us)
-        self.scenario, self.forwarder, self.rules = scenario, forwarder, forwarder.policy
+        self.scenario, self.forwarder, self.policy = scenario, forwarder, forwarder.policy
         self.classes: Mapping[str, MessageClassConfig] = {c.name: c for c in forwarder.classes}
         self.result = RuleCheckResult()
         self.entries_by_kind: dict[EventKind, list[EventLogEntry]] = defaultdict(list)
@@ -70,7 +70,7 @@
         self._check_order()
         self._check_retry_after()
         compute_figures(self.result, self.entries, self.submissions, self.forwarder)
-        self.result.zone_outages = find_zone_outages(self.entries, self.scenario, self.rules)
+        self.result.zone_outages = find_zone_outages(self.entries, self.scenario, self.policy)
         return self.result
 
     def _add_violation(self, rule: Rule, description: str) -> None:
@@ -109,13 +109,13 @@
 
         A paused forwarder has to reply as soon as it runs again.
         """
-        latest_us = submission.deadline_us + self.rules.answer_grace_us + SLACK_US
+        latest_us = submission.deadline_us + self.policy.answer_grace_us + SLACK_US
         for start_us, end_us in pauses:
             if start_us <= submission.submitted_us <= end_us:
-                # The forwarder reads it after the pause, and its time left counts from then.
+                # The forwarder reads the message after the pause, and its time left counts from then.
                 latest_us += end_us - submission.submitted_us
             if start_us <= latest_us <= end_us + SLACK_US:
-                latest_us = end_us + self.rules.answer_grace_us + SLACK_US
+                latest_us = end_us + self.policy.answer_grace_us + SLACK_US
         return latest_us
 
     def _check_calls_after_end(self, submission: Submission, calls_us: Sequence[int]) -> None:
@@ -153,9 +153,9 @@
             if entry.kind is EventKind.UPDATE_SENT:
                 self._apply_update(entry, drained_us)
             elif entry.kind is EventKind.CALL_STARTED:
-                known_us = drained_us.get((entry["forwarder"], entry["target"]), NEVER)
-                if entry["began"] > known_us + self.rules.drain_grace_us + SLACK_US:
-                    late_s = (entry["began"] - known_us) / 1e6
+                drain_us = drained_us.get((entry["forwarder"], entry["target"]), NEVER)
+                if entry["began"] > drain_us + self.policy.drain_grace_us + SLACK_US:
+                    late_s = (entry["began"] - drain_us) / 1e6
                     self._add_violation(
                         Rule.DRAIN,
                         f"{entry['target']}: call {late_s:.3f} s after {entry['forwarder']} got the drain",
@@ -192,33 +192,37 @@
     def _check_recovery(
         self, partner: str, entries: Sequence[EventLogEntry], outage: Span, full_rate: float
     ) -> None:
-        rules, end_us = self.rules, outage.end_us
+        """Check the calls after an outage against the budget of a partner that warms up.
+
+        An overload is a violation only if two thirds of the calls come from forwarders aware of the outage.
+        """
+        policy, end_us = self.policy, outage.end_us
         calls = [
             entry
             for entry in entries
-            if entry.kind is EventKind.CALL_STARTED and end_us <= entry.at_us <= end_us + rules.warm_up_us
+            if entry.kind is EventKind.CALL_STARTED and end_us <= entry.at_us <= end_us + policy.warm_up_us
         ]
         aware, is_any_aware = find_aware_forwarders(entries, outage)
         first = 0
         for index, call in enumerate(calls):
-            while calls[first].at_us < call.at_us - rules.collapse_window_us:
+            while calls[first].at_us < call.at_us - policy.collapse_window_us:
                 first += 1
             since_us = call.at_us - end_us
-            start_capacity = rules.start_capacity
-            capacity = min(1.0, start_capacity + (1 - start_capacity) * since_us / max(1, rules.warm_up_us))
+            start_capacity = policy.start_capacity
+            capacity = min(1.0, start_capacity + (1 - start_capacity) * since_us / max(1, policy.warm_up_us))
             budget = (
-                rules.collapse_multiple * capacity * full_rate * rules.collapse_window_us / 1e6
+                policy.collapse_multiple * capacity * full_rate * policy.collapse_window_us / 1e6
                 + COLLAPSE_MARGIN
             )
             window = calls[first : index + 1]
             if len(window) <= budget:
                 continue
-            known = sum(is_any_aware or each["forwarder"] in aware for each in window)
-            if known * 3 >= 2 * len(window):
+            aware_calls = sum(is_any_aware or each["forwarder"] in aware for each in window)
+            if aware_calls * 3 >= 2 * len(window):
                 self._add_violation(
                     Rule.FAIL_BACK,
                     f"{partner}: {len(window)} calls with a budget of {budget:.0f}, {since_us / 1e6:.1f} s"
-                    f" after its recovery, {known} of them from forwarders aware of the outage",
+                    f" after its recovery, {aware_calls} of them from forwarders aware of the outage",
                 )
                 return
 
@@ -255,13 +259,13 @@
         return calls
 
     def _check_overlaps(self, order_key: str, calls: Sequence[OrderedCall]) -> None:
-        for one, other in pairwise(calls):
-            is_same = one.entry["message"] == other.entry["message"]
-            rest_us = self.rules.ambiguous_key_rest_us if one.is_ambiguous and not is_same else 0
-            if other.entry.at_us < one.end_us + rest_us - SLACK_US:
+        for earlier, later in pairwise(calls):
+            is_same = earlier.entry["message"] == later.entry["message"]
+            rest_us = self.policy.ambiguous_key_rest_us if earlier.is_ambiguous and not is_same else 0
+            if later.entry.at_us < earlier.end_us + rest_us - SLACK_US:
                 self._add_violation(
                     Rule.ORDER,
-                    f"key {order_key}: {other.entry['message']} sent before {one.entry['message']} finished",
+                    f"key {order_key}: {later.entry['message']} sent before {earlier.entry['message']} ended",
                 )
 
     def _check_predecessors(
--- a/honeybarrow/rehearsal/zone_outages.py
+++ b/honeybarrow/rehearsal/zone_outages.py
@@ -49,18 +49,18 @@
 
 
 def find_zone_outages(
-    entries: Sequence[EventLogEntry], scenario: Scenario, rules: PolicyConfig
+    entries: Sequence[EventLogEntry], scenario: Scenario, policy: PolicyConfig
 ) -> list[ZoneOutage]:
     """Return the outages of zones, in the order of ``entries``, which are sorted by time."""
     return [
-        _measure_outage(entry, entries, scenario, rules)
+        _measure_outage(entry, entries, scenario, policy)
         for entry in entries
         if entry.kind is EventKind.ZONE_FAULT
     ]
 
 
 def _measure_outage(
-    fault: EventLogEntry, entries: Sequence[EventLogEntry], scenario: Scenario, rules: PolicyConfig
+    fault: EventLogEntry, entries: Sequence[EventLogEntry], scenario: Scenario, policy: PolicyConfig
 ) -> ZoneOutage:
     targets = {
         endpoint.target
@@ -76,8 +76,8 @@
     max_overload, half_load_after_us = 0.0, -1
     for at_us in range(end_us, entries[-1].at_us - SAMPLE_WINDOW_US, SAMPLE_STEP_US):
         load = _count_between(calls_us, at_us, at_us + SAMPLE_WINDOW_US) * SECOND_US / SAMPLE_WINDOW_US
-        since_return = (at_us - end_us) / max(1, rules.warm_up_us)
-        sustainable = usual * min(1.0, rules.start_capacity + (1.0 - rules.start_capacity) * since_return)
+        since_return = (at_us - end_us) / max(1, policy.warm_up_us)
+        sustainable = usual * min(1.0, policy.start_capacity + (1.0 - policy.start_capacity) * since_return)
         max_overload = max(max_overload, load / sustainable if sustainable else 0.0)
         if half_load_after_us < 0 and load >= usual / 2:
             half_load_after_us = at_us - end_us
