--- a/benchmarks/addresses.py
+++ b/benchmarks/addresses.py
@@ -378,7 +378,7 @@
         run_forwarder(args)
         return
     print(
-        f"{os.cpu_count()} processors, {args.messages} non-idempotent messages a day,",
+        f"{os.cpu_count()} processors, {args.messages} non-idempotent messages per run,",
         f"{args.rate:.0f} a second,",
         end=" ",
     )
--- a/benchmarks/fleet_members.py
+++ b/benchmarks/fleet_members.py
@@ -1,6 +1,6 @@
 """Benchmark of fleet membership in simulation: detection time of a death, false deaths, traffic per member.
 
-python -m benchmarks.fleet_members --sizes 10,50,200 --day 10 --jobs 4
+python -m benchmarks.fleet_members --sizes 10,50,200 --hours 10 --jobs 4
 """
 
 from __future__ import annotations
@@ -16,8 +16,10 @@
 
 
 def measure_detection(job: tuple[int, int]) -> tuple[float, float, float, float]:
-    """Return the seconds until the first and the last member detects a death, and the datagrams and bytes per
-    second that each member sends. ``job``: number of members, seed.
+    """Measure the detection of a death. ``job``: number of members, seed.
+
+    Returns the seconds until the first and the last member detects it, and the datagrams and bytes per second
+    that each member sends.
     """
     size, seed = job
     fleet = GossipCluster(
--- a/benchmarks/zone_lost.py
+++ b/benchmarks/zone_lost.py
@@ -101,7 +101,7 @@
     duration_s: float
 
 
-def play_job(job: Job) -> Measurement:
+def run_job(job: Job) -> Measurement:
     """Simulate one run."""
     zones = '["a", "b", "c"]' if job.forwarder_count < 100 else '["r1/a", "r1/b", "r2/c", "r2/d"]'
     partners = list(range(1, 7 if job.forwarder_count < 100 else 21))
@@ -192,7 +192,7 @@
         for policy in ("alone", "at once", "fleet")
     ]
     with ProcessPoolExecutor(jobs, max_tasks_per_child=1) as pool:
-        for row in pool.map(play_job, planned):
+        for row in pool.map(run_job, planned):
             job = row.job
             click.echo(
                 f"{job.forwarder_count:4} forwarders, {job.fault:6} seed {job.seed} {job.policy:8}"
