--- a/honeybarrow/rehearsal/schema.py
+++ b/honeybarrow/rehearsal/schema.py
@@ -195,6 +195,8 @@
     ``magnitude`` depends on ``kind`` too: a share of the calls (``errors``, ``answer_lost``), a factor
     (``slow``, ``burst``, ``throttle``) or microseconds (``pauses``).
 
+    ``class_fail``: a partner replies with an error to all messages of ``message_class``.
+
     ``spot_refuse``, ``spot_mute``, ``spot_hang``, ``spot_deaf``: an address refuses connections, accepts them
     and sends nothing, sends nothing after MAIL, or accepts messages and never replies to them.
 
