--- a/honeybarrow/rehearsal/event_log.py
+++ b/honeybarrow/rehearsal/event_log.py
@@ -36,7 +36,7 @@
     CALL_MESSAGE = "message"
     CALL_REPLIED = "replied"
     CALL_LOST = "call lost"
-    CALL_UNHEARD = "call unheard"
+    CALL_IGNORED = "call unheard"
     MESSAGE_EXECUTED = "ran"
     DUPLICATE_DROPPED = "dropped"
     # Recorded by the register.
--- a/honeybarrow/rehearsal/fault_injection.py
+++ b/honeybarrow/rehearsal/fault_injection.py
@@ -213,7 +213,7 @@
 
 
 class _StreamRelayFactory(Factory):
-    """Factory for the connections from one forwarder to another."""
+    """Factory for the connections that a forwarder opens to the relay."""
 
     noisy = False
 
--- a/honeybarrow/rehearsal/stand_in_environment.py
+++ b/honeybarrow/rehearsal/stand_in_environment.py
@@ -79,9 +79,9 @@
     def _listen_as_partners(self, forwarder: ForwarderConfig | None) -> None:
         warm_up, idempotency_windows_us = WarmUpConfig(), {}
         if forwarder is not None:
-            rules = forwarder.policy
+            policy = forwarder.policy
             warm_up = WarmUpConfig(
-                rules.start_capacity, rules.warm_up_us, rules.collapse_multiple, rules.collapse_window_us
+                policy.start_capacity, policy.warm_up_us, policy.collapse_multiple, policy.collapse_window_us
             )
             idempotency_windows_us = {
                 c.name: c.key_window_us for c in forwarder.classes if c.idempotency == "keyed"
--- a/honeybarrow/rehearsal/stand_in_register.py
+++ b/honeybarrow/rehearsal/stand_in_register.py
@@ -136,7 +136,7 @@
         self.register.clock.callLater(self.register.config.delay_us / 1e6, self.send_update)
 
     def send_update(self) -> None:
-        """Send the changes since the forwarder's version, or what an active fault replaces them by."""
+        """Send the changes since the known version, or a malformed or old list while a fault is active."""
         register = self.register
         if self not in register.connections or self.known_version is None:
             return
--- a/honeybarrow/rehearsal/stand_in_server.py
+++ b/honeybarrow/rehearsal/stand_in_server.py
@@ -377,7 +377,7 @@
         """Process data from the forwarder."""
         if self.is_unresponsive:
             if not self.has_open_call and b"MAIL FROM" in data:
-                self.record(EventKind.CALL_UNHEARD, began=self.began_us)
+                self.record(EventKind.CALL_IGNORED, began=self.began_us)
             return
         self.protocol_session.receive(data)
         self._process_events()
--- a/honeybarrow/rehearsal/zone_outages.py
+++ b/honeybarrow/rehearsal/zone_outages.py
@@ -18,7 +18,7 @@
 SAMPLE_WINDOW_US = SECOND_US // 2  # length of a sample
 LOST_CALL_KINDS = frozenset(
     {
-        EventKind.CALL_UNHEARD,
+        EventKind.CALL_IGNORED,
         EventKind.CONNECTION_ABANDONED,
         EventKind.CONNECTION_REFUSED,
         EventKind.CALL_LOST,
