--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -12,7 +12,7 @@
 
 from honeybarrow.lab.consensus_cluster import (
     SECOND_US,
-    ClusterPlan,
+    ClusterParameters,
     ConsensusCluster,
     Fault,
     FaultKind,
@@ -21,7 +21,7 @@
 )
 from honeybarrow.lab.model_checker import SearchResult, explore_states
 from tests.consensus_model import ConsensusModel
-from tests.test_consensus_cluster import LostDiskVotes, OneIsEnough, VotesForOlderLog
+from tests.test_consensus_cluster import AcceptsReplacedDisk, CommitsWithoutQuorum, VotesForOlderLog
 
 MODELS = {
     "three voters, two terms": ConsensusModel(max_terms=2, max_proposals=0),
@@ -47,14 +47,19 @@
     """
     cluster = ConsensusCluster(draw_plan(seed, 3 + 2 * (seed % 2), 2 + seed % 5), seed)
     history = cluster.run()
-    return find_violations(cluster), len(history.acknowledged), len(history.elected_us), history.readmitted
+    return (
+        find_violations(cluster),
+        len(history.acknowledged),
+        len(history.elected_us),
+        history.readmission_count,
+    )
 
 
 def is_violated(mutant: str, seed: int) -> bool:
     """Return whether a mutant violates a guarantee in the run with this seed."""
     mutants = {
-        "lost disk votes": LostDiskVotes,
-        "one is enough": OneIsEnough,
+        "lost disk votes": AcceptsReplacedDisk,
+        "one is enough": CommitsWithoutQuorum,
         "votes for older": VotesForOlderLog,
     }
     cluster = ConsensusCluster(draw_plan(seed), seed, mutants[mutant])
@@ -100,7 +105,7 @@
 def measure_times() -> None:
     """Print the times to commit a proposal and to elect a new leader, by the delay of the links."""
     for delay in (50, 1_000, 10_000, 50_000):
-        plan = ClusterPlan(
+        plan = ClusterParameters(
             loss_rate=0.0, duplicate_rate=0.0, delay_range_us=(delay, delay + 1), sync_range_us=(500, 2000)
         )
         cluster = ConsensusCluster(plan, delay)
@@ -111,7 +116,7 @@
         waits_us = []
         for seed in range(300):
             cluster = ConsensusCluster(
-                ClusterPlan(
+                ClusterParameters(
                     learners=0, loss_rate=0.0, delay_range_us=(delay // 2, delay), duration_us=5 * SECOND_US
                 ),
                 seed,
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.decisions [--against CHECKOUT] [--quick] [--plot FILE.png]
 
-Prints the CPU time per message, the slowest batch, the numbers of calls of ``pressure`` and
+Prints the CPU time per message, the slowest batch, the numbers of calls of ``urgency`` and
 ``choose_endpoint`` per message, which do not depend on the machine, and the bytes per destination and per
 waiting message. With --against the benchmark of another checkout runs afterwards with the same options.
 """
@@ -117,7 +117,7 @@
 
 def run(load: Load, seed: int = 1) -> Figures:
     """Simulate one Sender with this load."""
-    with count_calls(("pressure", "choose_endpoint")) as counts:
+    with count_calls(("urgency", "choose_endpoint")) as counts:
         return _run(load, seed, counts)
 
 
@@ -200,7 +200,7 @@
         messages,
         cpu_s / messages * 1e6,
         worst_s * 1e3,
-        counts["pressure"] / messages,
+        counts["urgency"] / messages,
         counts["choose_endpoint"] / messages,
         answers,
         max_held,
--- a/honeybarrow/cli/soak.py
+++ b/honeybarrow/cli/soak.py
@@ -15,7 +15,7 @@
 from honeybarrow.soak.fault_shim import NoCompilerError, build_shim
 from honeybarrow.soak.plan import Fault, FaultKind, SoakSpec
 from honeybarrow.soak.rules import SoakRule, SoakViolation
-from honeybarrow.soak.run import SoakResult, play
+from honeybarrow.soak.run import SoakResult, run_soak
 from honeybarrow.soak.shrink import shrink_faults
 
 MAX_PRINTED_VIOLATIONS = 3  # of one run
@@ -71,7 +71,7 @@
     for number in range(seed, seed + seeds):
         spec = replace(first_spec, seed=number)
         run_folder = folder / f"seed-{number}"
-        result = play(spec, run_folder, library, source=source)
+        result = run_soak(spec, run_folder, library, source=source)
         _print_result(result, spec)
         violations.update({violation.rule.value for violation in result.violations})
         if keep is not None:
@@ -112,7 +112,7 @@
 def _print_violation(result: SoakResult, violation: SoakViolation) -> None:
     """Print a violation and the events that concern its message."""
     click.echo(f"  {violation.rule}: {violation.forwarder} {violation.message} {violation.text}")
-    for line in result.history.story(violation.message, violation.forwarder):
+    for line in result.history.related_events(violation.message, violation.forwarder):
         click.echo(f"    {line}")
 
 
@@ -125,7 +125,7 @@
     def play_faults(faults: Sequence[Fault]) -> frozenset[SoakRule]:
         nonlocal run_count
         run_count += 1
-        shrunk_result = play(spec, folder / f"shrink-{run_count}", library, faults, source)
+        shrunk_result = run_soak(spec, folder / f"shrink-{run_count}", library, faults, source)
         return frozenset(violation.rule for violation in shrunk_result.violations)
 
     remaining = shrink_faults(result.faults, rule, play_faults)
--- a/honeybarrow/config/schema.py
+++ b/honeybarrow/config/schema.py
@@ -373,7 +373,7 @@
         "collapse_multiple": "fall_multiple",
         "collapse_window_us": "fall",
         "warm_up_us": "cold",
-        "ambiguous_key_rest_us": "settle",
+        "order_key_cooldown_us": "settle",
     },
 ):
     """The parameters of the sending policy (``docs/decisions.md``).
@@ -386,7 +386,7 @@
         drain_grace_us: the time after an endpoint starts to drain in which attempts may still start.
         poll_interval_us: the longest time between requests for the endpoint list.
         answer_grace_us: the time after its deadline in which a message may still get its final result.
-        ambiguous_key_rest_us: the time without attempts for an order key after an attempt whose effect is
+        order_key_cooldown_us: the time without attempts for an order key after an attempt whose effect is
             unknown.
     """
 
@@ -398,7 +398,7 @@
     collapse_window_us: Positive = 3_000_000
     start_capacity: Share = 0.2
     warm_up_us: Positive = 9_000_000
-    ambiguous_key_rest_us: Micros = 300_000
+    order_key_cooldown_us: Micros = 300_000
 
 
 class ForwarderConfig(
@@ -546,5 +546,5 @@
             collapse_window_us=self.policy.collapse_window_us,
             start_capacity=self.policy.start_capacity,
             warm_up_us=self.policy.warm_up_us,
-            ambiguous_key_rest_us=self.policy.ambiguous_key_rest_us,
+            order_key_cooldown_us=self.policy.order_key_cooldown_us,
         )
--- a/honeybarrow/rehearsal/plot.py
+++ b/honeybarrow/rehearsal/plot.py
@@ -22,7 +22,7 @@
     """The plot could not be written."""
 
     code = "HB901"
-    remedy = "leave --plot out, or install the development requirements"
+    remedy = "omit --plot, or install the development requirements"
 
 
 def plot(entries: Sequence[EventLogEntry], scenario: Scenario, path: Path) -> None:
--- a/honeybarrow/rehearsal/rule_checker.py
+++ b/honeybarrow/rehearsal/rule_checker.py
@@ -261,7 +261,7 @@
     def _check_overlaps(self, order_key: str, calls: Sequence[OrderedCall]) -> None:
         for earlier, later in pairwise(calls):
             is_same = earlier.entry["message"] == later.entry["message"]
-            rest_us = self.policy.ambiguous_key_rest_us if earlier.is_ambiguous and not is_same else 0
+            rest_us = self.policy.order_key_cooldown_us if earlier.is_ambiguous and not is_same else 0
             if later.entry.at_us < earlier.end_us + rest_us - SLACK_US:
                 self._add_violation(
                     Rule.ORDER,
--- a/honeybarrow/sender_state.py
+++ b/honeybarrow/sender_state.py
@@ -100,12 +100,12 @@
     limiter: RateLimiter
     remaining_share: float  # moving average of the unused share of the limit, as reported
     endpoints: list[EndpointRecord] = field(default_factory=list)
-    backoff_until_us: int = 0  # end of the Retry-After
+    retry_after_until_us: int = 0  # end of the Retry-After
     listed_limit: float = 0.0  # calls per second; 0 if unknown
     reported_limit: float = 0.0  # calls per second; 0 if unknown
     announced_reopen_us: int = NEVER  # end of a closure announced by Retry-After
     failing_since_us: int = NEVER  # send time of the first failed call since the last success
-    rest_until_us: int = 0  # end of the randomized backoff after a failure
+    failure_backoff_until_us: int = 0  # end of the randomized backoff after a failure
     rejecting_since_us: int = NEVER  # time of the first rejection since the last success
     rejection_streak: int = 0  # consecutive rejections
 
@@ -122,7 +122,7 @@
     waiting: GroupedSortedLists[Message] = field(default_factory=GroupedSortedLists)
     demand: float = 0.0  # moving average of arrivals, in messages per second
     demand_updated_us: int = 0
-    pressure_bound: float = math.inf  # upper bound, see honeybarrow.policy.admission
+    urgency_bound: float = math.inf  # upper bound, see honeybarrow.policy.admission
 
 
 @dataclass(slots=True)
@@ -152,7 +152,7 @@
     kinds: dict[str, DestinationKind]
     remaining_field_index: int  # position of the remaining share in load reports; -1 if absent
     limit_field_index: int  # position of the limit in load reports; -1 if absent
-    is_deadline_ordered: bool  # within a group, the pressure grows towards the deadline
+    is_deadline_ordered: bool  # within a group, the urgency grows towards the deadline
     quotas: dict[str, TenantQuota]
     now: int = 0
     is_log_available: bool = True  # attempt starts can be recorded
@@ -181,7 +181,7 @@
     scheduled_checks: IndexedPriorityQueue[Destination] = field(default_factory=IndexedPriorityQueue)
     # Destinations that may not be sent to, by the time at which they open.
     blocked_destinations: IndexedPriorityQueue[Destination] = field(default_factory=IndexedPriorityQueue)
-    # Destinations that may be sent to, by their negated pressure bound.
+    # Destinations that may be sent to, by their negated urgency bound.
     ready_destinations: IndexedPriorityQueue[Destination] = field(default_factory=IndexedPriorityQueue)
     # Destinations at their cap of call slots, by calls in flight.
     saturated_destinations: IndexedPriorityQueue[Destination] = field(default_factory=IndexedPriorityQueue)
