--- a/honeybarrow/events.py
+++ b/honeybarrow/events.py
@@ -14,7 +14,7 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    FULL = "full"  # rejected for now, by a rate limit or a closed destination; the message did not run
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
@@ -34,10 +34,10 @@
 class UpdateKind(enum.Enum):
     """Relation of a membership update to the previous endpoint list."""
 
-    CHANGES = "changes"
-    FULL = "full"
-    SAVED = "saved"
-    FAILED = "failed"
+    CHANGES = "changes"  # only the endpoints that changed
+    FULL = "full"  # all endpoints; others are removed
+    SAVED = "saved"  # all endpoints of a list that was saved earlier and may be outdated
+    FAILED = "failed"  # the request for the list failed
 
 
 @dataclass(slots=True, frozen=True)
@@ -61,6 +61,7 @@
 
     A message recovered after a restart carries the number of its previous ``attempts``, and in
     ``ambiguous_age_us`` the time since the start of the first attempt that may have run, if there was one.
+    The policy ignores ``is_repeat``, which marks a message that its client has submitted before.
     """
 
     message: str
@@ -97,7 +98,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptStreaming:
-    """The response to an attempt has started and is being passed on to the client."""
+    """The response to an attempt has started and is being passed on to the client. The policy ignores it."""
 
     message: str
     attempt: int
@@ -107,7 +108,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MessageExpired:
-    """The client withdrew this message, which needs no final result any more."""
+    """The message was withdrawn by its client or could not be recorded, and needs no final result."""
 
     message: str
 
--- a/honeybarrow/policy/admission.py
+++ b/honeybarrow/policy/admission.py
@@ -109,7 +109,7 @@
             _start_call(state, message, endpoint)
         elif message.in_flight == 0:
             unplaced[destination.index] = unplaced.get(destination.index, 0) + 1
-    for index, (destination, max_weight) in candidates.weighed.items():
+    for index, (destination, max_weight) in candidates.evaluated.items():
         destination.urgency_bound = _urgency_bound(state, max_weight)
         if index not in state.changed_destinations and index not in state.saturated_destinations:
             _reschedule(state, destination, max_weight, unplaced.get(index, 0))
@@ -123,8 +123,8 @@
     if (unplaced or max_weight <= 0.0) and unplaced == sum(
         _is_eligible(state, each) for each in destination.waiting
     ):
-        # A message without an open endpoint gets one later if it is non-idempotent and half of its time has
-        # passed; see choose_endpoint.
+        # The check is due when a backoff ends, or when a non-idempotent message reaches the second half of
+        # its time, in which it may be sent to an ejected endpoint; see choose_endpoint.
         waiting = list(destination.waiting)
         non_idempotent = [
             each for each in waiting if each.message_class.idempotency is Idempotency.NON_IDEMPOTENT
@@ -160,18 +160,18 @@
     # same minimum urgency, so they form runs by weight.
     too_late: dict[float, list[tuple[int, Message]]] = {}
     needed_until_us = state.now + health.expected_duration_us(destination, NEEDED_LATENCIES)
-    for late, run in destination.waiting.split(needed_until_us):
-        for _, insertion, message in late:
+    for late_entries, run in destination.waiting.split(needed_until_us):
+        for _, insertion, message in late_entries:
             too_late.setdefault(message.weight, []).append((insertion, message))
         yield _with_weights(state, slot_us, (message for _, _, message in run))
-    for expired in too_late.values():
-        yield _with_weights(state, slot_us, (message for _, message in sorted(expired)))
+    for entries in too_late.values():
+        yield _with_weights(state, slot_us, (message for _, message in sorted(entries)))
 
 
 def _with_weights(
     state: SenderState, slot_us: int, run: Iterable[Message]
 ) -> Iterator[tuple[float, Message]]:
-    """Yield the eligible messages of a run with their urgency by slot time."""
+    """Yield the eligible messages of a run each with its urgency divided by the slot time."""
     for message in run:
         if message.destination.index in state.saturated_destinations:
             return
@@ -206,9 +206,10 @@
     two restrictions:
 
     * A lost health check ends a non-idempotent message, so such a message is used only in the second half of
-      its time, or if connects fail, in which case it does not run.
-    * A health check cut short by its message's deadline tells nothing, so the message needs the response
-      timeout, or a third of its deadline where all deadlines are shorter than the timeout.
+      its time, or if a connect has failed since the ejection: if the next one fails too, the message does not
+      run.
+    * A health check that ends early because its message expires shows nothing about the endpoint, so the
+      message needs as much time as the response timeout, or a third of its deadline if that is less.
     """
     left_us, spec = message.expires_us - state.now, message.message_class
     is_too_early = spec.idempotency is Idempotency.NON_IDEMPOTENT and left_us > spec.deadline_us // 2
@@ -237,8 +238,8 @@
 def can_send(state: SenderState, message: Message, call: Call) -> bool:
     """Return whether every delivery rule permits sending the message with this call."""
     endpoint, spec, key, now = call.endpoint, message.message_class, message.order_key, state.now
-    is_keyed = is_ambiguous(message) and spec.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
-    is_bound = is_keyed and spec.key_scope != "all"
+    has_ambiguous_key = is_ambiguous(message) and spec.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+    is_bound_to_zone = has_ambiguous_key and spec.key_scope != "all"
     is_cooling_down = not message.attempts and state.key_cooldowns.get(-1 if key is None else key, 0) > now
     return not (
         (message.is_completed or message.in_flight > 0)  # no hedging
@@ -248,7 +249,7 @@
         or not endpoint.is_usable  # draining or removed
         or endpoint.scope.retry_after_until_us > now  # Retry-After
         or now > latest_start_us(message, DEADLINE_MARGIN_US)  # past the hard cap
-        or (is_bound and endpoint.zone != message.ambiguous_zone)  # the key is unknown in other zones
+        or (is_bound_to_zone and endpoint.zone != message.ambiguous_zone)  # the key is unknown in other zones
         or (key is not None and (is_cooling_down or state.order_queues[key][0] is not message))
         or (call.open_attempts == 0 and state.slots_used >= state.settings.slots)
         or (call.open_attempts == 0 and health.opens_us(state, endpoint) > now)
--- a/honeybarrow/policy/endpoint_health.py
+++ b/honeybarrow/policy/endpoint_health.py
@@ -135,29 +135,29 @@
 
     A cold destination would collapse if all senders sent the backlog of an outage at its end. Calls are
     spread in proportion to the returning capacity: over the warm-up if the reopening was announced, else over
-    the time in which half the budget carries the arrivals since the first failure, or one call per sender.
-    ``silent_us`` is how long a failed connect took beyond the usual latency.
+    the time in which half of the call budget covers the arrivals since the first failure, or one call of each
+    sender if that is shorter. ``silent_us`` is how long a failed connect took beyond the usual latency.
     """
     settings, warm_up = state.settings, state.settings.warm_up_us / SECOND
     start = settings.start_capacity
     slope = max(0.0, 1.0 - start) / max(warm_up, 1e-6)
     limit, is_large_fleet = known_limit(state, scope), settings.senders > MAX_SMALL_FLEET_SENDERS
-    opens = max(state.now, scope.retry_after_until_us)
-    rest = max(
-        FAILURE_BACKOFF_MULTIPLE * (opens - min(scope.failing_since_us, opens)),
+    opens_us = max(state.now, scope.retry_after_until_us)
+    wait_us = max(
+        FAILURE_BACKOFF_MULTIPLE * (opens_us - min(scope.failing_since_us, opens_us)),
         SLOW_CONNECT_BACKOFF_MULTIPLE * silent_us,
     )
-    # Counted from the next call that the rate limiter permits, which is alike for senders rejected together.
-    permitted_us = max(opens, scope.limiter.next_send_us() if is_large_fleet else 0)
-    rest, opens = max(rest, permitted_us - opens), permitted_us
-    rest *= is_large_fleet / SECOND
-    rest = min(rest, FAILURE_BACKOFF_MULTIPLE * (settings.senders - 1) / limit) if limit > 0 else rest
+    # From the next call that the rate limiter permits, since it is the same for senders rejected together.
+    permitted_us = max(opens_us, scope.limiter.next_send_us() if is_large_fleet else 0)
+    wait_us, opens_us = max(wait_us, permitted_us - opens_us), permitted_us
+    wait_s = wait_us * (is_large_fleet / SECOND)
+    wait_s = min(wait_s, FAILURE_BACKOFF_MULTIPLE * (settings.senders - 1) / limit) if limit > 0 else wait_s
     # Area under the capacity ramp of the whole warm-up, and the part of it over which to spread.
     area = start * warm_up + slope * warm_up * warm_up / 2
     is_announced = scope.announced_reopen_us < NEVER
-    spread = area if is_announced else min(area, rest / (RECOVERY_MARGIN * settings.collapse_multiple))
-    root = math.sqrt(start * start + 2 * slope * spread * state.rng.random())
-    return opens + int((root - start) / max(slope, 1e-6) * SECOND)
+    spread = area if is_announced else min(area, wait_s / (RECOVERY_MARGIN * settings.collapse_multiple))
+    capacity = math.sqrt(start * start + 2 * slope * spread * state.rng.random())
+    return opens_us + int((capacity - start) / max(slope, 1e-6) * SECOND)
 
 
 def call_interval_us(state: SenderState, endpoint: EndpointRecord) -> int:
@@ -206,13 +206,13 @@
     endpoint.has_idle_loss |= is_idle_loss
     if status is AttemptStatus.CONNECT_FAILED:
         endpoint.last_connect_failure_us = state.now
-    is_fresh_loss = is_newest and not is_idle_loss
-    if is_fresh_loss:
+    is_outage_evidence = is_newest and not is_idle_loss
+    if is_outage_evidence:
         scope.failing_since_us = min(scope.failing_since_us, call.sent_us)
     if status is AttemptStatus.FULL:
-        _on_rejection(state, call, event.retry_after_us)
+        _on_full(state, call, event.retry_after_us)
     else:
-        _on_loss(state, call, status, is_fresh_loss)
+        _on_loss(state, call, status, is_outage_evidence)
     if status not in (AttemptStatus.FULL, AttemptStatus.ERROR):  # errors count by error_share
         # A failed connect counts twice unless a full connection table explains it.
         is_full = endpoint.calls or state.connection_evidence.get(endpoint.destination.kind.name, 0) > 0
@@ -227,8 +227,8 @@
         eject(state, endpoint, status.value)
 
 
-def _on_rejection(state: SenderState, call: Call, retry_after_us: int) -> None:
-    """Lower the rate of the scope; eject its endpoints if the destination is closed."""
+def _on_full(state: SenderState, call: Call, retry_after_us: int) -> None:
+    """Lower the rate of the scope after FULL; eject its endpoints if the destination is closed."""
     scope = call.endpoint.scope
     scope.limiter.on_rejection(state.now, call.sent_us, rate_bounds(state, call.endpoint))
     scope.rejecting_since_us = min(scope.rejecting_since_us, state.now)
@@ -244,14 +244,14 @@
         eject(state, endpoint, "rejects_all")
 
 
-def _on_loss(state: SenderState, call: Call, status: AttemptStatus, is_fresh: bool) -> None:
-    """Count a call that failed or was lost, and set the failure backoff of the scope."""
+def _on_loss(state: SenderState, call: Call, status: AttemptStatus, is_outage_evidence: bool) -> None:
+    """Count a failed or lost call; set the failure backoff of the scope if it suggests an outage."""
     endpoint, scope = call.endpoint, call.endpoint.scope
     scope.announced_reopen_us = NEVER
     late_us = max(0, state.now - call.sent_us - int(endpoint.latency_us))
     is_slow = late_us >= endpoint.latency_us * (state.settings.senders > MAX_SMALL_FLEET_SENDERS)
-    endpoint.slow_loss_streak += is_fresh and is_slow and status is not AttemptStatus.ERROR
-    if is_fresh:
+    endpoint.slow_loss_streak += is_outage_evidence and is_slow and status is not AttemptStatus.ERROR
+    if is_outage_evidence:
         silent_us = late_us if status is AttemptStatus.CONNECT_FAILED else 0
         scope.failure_backoff_until_us = failure_backoff_until_us(state, scope, silent_us)
 
@@ -259,14 +259,14 @@
 def _on_answer(state: SenderState, call: Call, status: AttemptStatus) -> None:
     """Update latency, rate and health from an answered call."""
     endpoint, scope, now = call.endpoint, call.endpoint.scope, state.now
-    # Rejections are faster than deliveries and would lower the latency estimate.
+    # Permanent rejections (REJECTED) are faster than deliveries and would lower the latency estimate.
     took_us = now - call.sent_us if status is AttemptStatus.OK else endpoint.latency_us
     endpoint.answered_call_sent_us = max(endpoint.answered_call_sent_us, call.sent_us)
     endpoint.latency_us += LATENCY_WEIGHT * (took_us - endpoint.latency_us)
     endpoint.failure_streak = 0
     is_young = now - endpoint.outage_since_us < MIN_OUTAGE_US
-    # A short outage counts as chance, without slow start, unless enough calls were lost slowly: fast failures
-    # are typical of full connection tables.
+    # A short outage counts as chance, without slow start, unless enough calls were lost slowly or a sibling
+    # is in slow start. Fast failures do not count, since they are typical of full connection tables.
     lost = sum(e.slow_loss_streak + sum(c.sent_us < call.sent_us for c in e.calls) for e in scope.endpoints)
     has_returning = any(e.health is EndpointHealth.SLOW_START for e in scope.endpoints)
     is_chance = is_young and lost + MIN_OUTAGE_LOSSES * has_returning < MIN_OUTAGE_LOSSES
--- a/honeybarrow/policy/lifecycle.py
+++ b/honeybarrow/policy/lifecycle.py
@@ -16,7 +16,12 @@
 
 MAX_OPEN_SHARE = 0.95  # share of max_open above which load is shed
 QUOTA_BURST_S = 3.0  # burst size of a tenant quota, in seconds of its rate
-AMBIGUOUS = (AttemptStatus.ERROR, AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED)
+AMBIGUOUS_STATUSES = (
+    AttemptStatus.ERROR,
+    AttemptStatus.TIMEOUT,
+    AttemptStatus.RESET,
+    AttemptStatus.CANCELLED,
+)
 
 
 def on_message_arrived(state: SenderState, event: MessageArrived) -> None:
@@ -78,7 +83,7 @@
         state.slots_used -= 1
         call.endpoint.calls.remove(call)
         call.endpoint.idle_since_us = state.now
-    if event.status in AMBIGUOUS and not event.not_run:
+    if event.status in AMBIGUOUS_STATUSES and not event.not_run:
         _record_ambiguous(state, message, call, event.status)
     scope = call.endpoint.scope
     scope.retry_after_until_us = max(scope.retry_after_until_us, state.now + event.retry_after_us)
@@ -131,15 +136,15 @@
     """
     if message.in_flight == 0 and can_return(message):
         destination, spec = message.destination, message.message_class
-        max_pause_us = state.settings.max_retry_after_us * state.settings.allows_retry_after
+        max_retry_after_us = state.settings.max_retry_after_us * state.settings.allows_retry_after
         rate = max((each.scope.limiter.rate or 0.0 for each in destination.endpoints), default=0.0)
         queue_us = int(len(destination.waiting) / rate * SECOND) if rate else 0
         opens_us = endpoint_health.destination_opens_us(state, destination) - state.now
-        pause_us = min(max(opens_us, queue_us, backoff.INITIAL_BACKOFF_US), max_pause_us)
+        retry_after_us = min(max(opens_us, queue_us, backoff.INITIAL_BACKOFF_US), max_retry_after_us)
         is_keyed = backoff.is_ambiguous(message) and spec.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
         left_us = message.ambiguous_since_us + spec.key_window_us - DEADLINE_MARGIN_US - state.now
-        within_us = max(0, left_us) if is_keyed else None
-        state.actions.append(ReturnToClient(message.id, pause_us, within_us))
+        retry_within_us = max(0, left_us) if is_keyed else None
+        state.actions.append(ReturnToClient(message.id, retry_after_us, retry_within_us))
     else:
         state.actions.append(FailPermanently(message.id))
     complete(state, message)
@@ -149,7 +154,7 @@
     """Return the messages of least utility to their clients while too many are open."""
     for _ in range(state.open_messages - int(state.settings.max_open * MAX_OPEN_SHARE)):
         # Within a group only the oldest message has to be compared; ties go to the first arrival.
-        queues = itertools.chain(*state.return_queues.values())
+        queues = itertools.chain(*state.shedding_queues.values())
         oldest = [found for queue in queues if (found := queue.first_matching(_is_sheddable))]
         if oldest:
             give_final_result(state, min(oldest, key=lambda each: _remaining_utility(state, each)))
--- a/honeybarrow/policy/membership.py
+++ b/honeybarrow/policy/membership.py
@@ -55,7 +55,7 @@
 def _add_endpoint(state: SenderState, entry: Endpoint) -> EndpointRecord:
     """Create the record of a newly listed endpoint and attach it to its destination and scope."""
     destination = sender_state.get_or_create_destination(state, entry.destination, entry.kind, new_scope)
-    # Rate limit, Retry-After and recovery budget are shared by the destination, or kept by route.
+    # Rate limit, Retry-After and recovery budget belong to the whole destination, or to each endpoint.
     scope = new_scope() if destination.kind.has_separate_routes else destination.shared_scope
     added = EndpointRecord(entry.target, entry.zone, destination, scope, state.now, INITIAL_LATENCY_US)
     # A new endpoint of a failing scope starts as ejected. Otherwise the whole backlog of the destination
--- a/honeybarrow/policy/rate_limit.py
+++ b/honeybarrow/policy/rate_limit.py
@@ -54,7 +54,7 @@
         self.refilled_us = now
 
     def next_send_us(self) -> int:
-        """Return the earliest time of the next call; 0 if a token is available now."""
+        """Return the time at which a token becomes available, possibly past; 0 if one was left over."""
         if self.rate is None or self.tokens >= TOKENS_PER_CALL:
             return 0
         return self.refilled_us + int((TOKENS_PER_CALL - self.tokens) / self.rate * SECOND) + 1
--- a/honeybarrow/priority_queue.py
+++ b/honeybarrow/priority_queue.py
@@ -161,34 +161,34 @@
 class HeaviestFirstMerge(Generic[Group, Item]):
     """An iterable over the items of many groups in descending order of weight, evaluating groups lazily.
 
-    ``rank`` holds the groups by the negated upper bound of the weights of their items. ``weigh`` returns the
-    runs of a group: iterators of (weight, item) pairs in descending order of weight. ``bound`` converts a
-    weight to the scale of the bounds. A group is removed from ``rank`` and evaluated only when its bound
-    reaches the heaviest item found so far. Items of equal weight come in the order of group numbers and then
-    of runs, as in a full merge.
+    ``rank`` holds the groups by the negated upper bound of the weights of their items. ``evaluate`` returns
+    the runs of a group: iterators of (weight, item) pairs in descending order of weight. ``to_bound``
+    converts a weight to the scale of the bounds. A group is removed from ``rank`` and evaluated only when its
+    bound reaches the heaviest item found so far. Items of equal weight come in the order of group numbers
+    and then of runs, as in a full merge.
     """
 
     def __init__(
         self,
         rank: IndexedPriorityQueue[Group],
-        weigh: Callable[[Group], Iterable[Iterator[tuple[float, Item]]]],
-        bound: Callable[[float], float],
+        evaluate: Callable[[Group], Iterable[Iterator[tuple[float, Item]]]],
+        to_bound: Callable[[float], float],
     ) -> None:
-        self.rank, self.weigh_group, self.bound_of = rank, weigh, bound
-        self.weighed: dict[int, tuple[Group, float]] = {}  # by number: the group and its highest weight
+        self.rank, self.evaluate_group, self.to_bound = rank, evaluate, to_bound
+        self.evaluated: dict[int, tuple[Group, float]] = {}  # by number: the group and its highest weight
 
     def __iter__(self) -> Iterator[Item]:
         heads: list[tuple[float, int, int, Item, Iterator[tuple[float, Item]]]] = []
         while True:
-            while (number := self._next_to_weigh(heads)) is not None:
+            while (number := self._next_to_evaluate(heads)) is not None:
                 group = self.rank.pop(number)
                 best = 0.0
-                for order, run in enumerate(self.weigh_group(group)):
+                for order, run in enumerate(self.evaluate_group(group)):
                     for weight, item in run:
                         best = max(best, weight)
                         heapq.heappush(heads, (-weight, number, order, item, run))
                         break
-                self.weighed[number] = (group, best)
+                self.evaluated[number] = (group, best)
             if not heads:
                 return
             _, number, order, item, run = heads[0]
@@ -199,11 +199,11 @@
             else:
                 heapq.heappop(heads)
 
-    def _next_to_weigh(
+    def _next_to_evaluate(
         self, heads: list[tuple[float, int, int, Item, Iterator[tuple[float, Item]]]]
     ) -> int | None:
         """Return the number of the next group to evaluate before the heaviest item may be yielded, if any."""
         if (entry := self.rank.first_entry()) is None:
             return None
-        reaches = not heads or -entry[0] >= self.bound_of(-heads[0][0]) - BOUND_TOLERANCE
-        return entry[1] if reaches else None
+        must_evaluate = not heads or -entry[0] >= self.to_bound(-heads[0][0]) - BOUND_TOLERANCE
+        return entry[1] if must_evaluate else None
--- a/honeybarrow/sender_state.py
+++ b/honeybarrow/sender_state.py
@@ -95,7 +95,7 @@
 
 @dataclass(slots=True)
 class RateLimitScope:
-    """The endpoints that share one rate limit and Retry-After: all of a destination, or one route of it."""
+    """The endpoints that share one rate limit and Retry-After: all of a destination, or a single one."""
 
     limiter: RateLimiter
     remaining_share: float  # moving average of the unused share of the limit, as reported
@@ -134,7 +134,7 @@
     refilled_us: int = 0
 
 
-def _new_return_queues() -> defaultdict[tuple[str, float], list[IndexedPriorityQueue[Message]]]:
+def _new_shedding_queues() -> defaultdict[tuple[str, float], list[IndexedPriorityQueue[Message]]]:
     return defaultdict(lambda: [IndexedPriorityQueue(), IndexedPriorityQueue()])
 
 
@@ -172,8 +172,8 @@
     message_timers: list[tuple[int, str]] = field(default_factory=list)  # heap of (time, message id)
     wait_sequence: Iterator[int] = field(default_factory=itertools.count)
     # Candidates for load shedding, by group: one queue by creation time and one by arrival.
-    return_queues: defaultdict[tuple[str, float], list[IndexedPriorityQueue[Message]]] = field(
-        default_factory=_new_return_queues
+    shedding_queues: defaultdict[tuple[str, float], list[IndexedPriorityQueue[Message]]] = field(
+        default_factory=_new_shedding_queues
     )
     # Indexes that restrict the work of each batch to the destinations that may be sent to.
     changed_destinations: dict[int, Destination] = field(default_factory=dict)  # to be refreshed
@@ -219,7 +219,7 @@
     waiting = message.destination.waiting
     waiting.put(message.id, message.group, message.expires_us, next(state.wait_sequence), message)
     keys = (message.created_us, message.sequence)
-    for queue, key in zip(state.return_queues[message.group], keys, strict=True):
+    for queue, key in zip(state.shedding_queues[message.group], keys, strict=True):
         queue.put(message.sequence, key, message)
     state.changed_destinations[message.destination.index] = message.destination
 
@@ -234,7 +234,7 @@
     if message.in_flight > 0:
         return
     state.messages.pop(message.id, None)
-    for queue in state.return_queues[message.group]:
+    for queue in state.shedding_queues[message.group]:
         queue.drop(message.sequence)
     in_order = state.order_queues.get(message.order_key, deque())
     if message in in_order:
--- a/honeybarrow/settings.py
+++ b/honeybarrow/settings.py
@@ -58,8 +58,8 @@
 class DestinationKind:
     """Properties shared by destinations of one kind.
 
-    ``max_batch_size`` is the maximum number of messages in one call; with ``has_separate_routes`` each route
-    has a rate limit of its own.
+    ``max_batch_size`` is the maximum number of messages in one call. With ``has_separate_routes`` each
+    endpoint is a route of its own, with its own rate limit and Retry-After.
     """
 
     name: str
@@ -126,11 +126,9 @@
         if count < 1:
             raise InvalidValueError(f"{name} must be at least 1, got {count}")
     for item in settings.classes:
-        if min(item.latency_objective_us, item.key_window_us, item.priority_weight, item.late_utility) < 0:
-            raise InvalidValueError(
-                f"classes: {item.name}: latency_objective_us, key_window_us, priority_weight and "
-                "late_utility must not be negative"
-            )
+        for name in ("latency_objective_us", "key_window_us", "priority_weight", "late_utility"):
+            if (value := getattr(item, name)) < 0:
+                raise InvalidValueError(f"classes: {item.name}: {name} must not be negative, got {value}")
         if item.deadline_us < item.latency_objective_us:
             raise InvalidValueError(
                 f"classes: {item.name}: deadline_us {item.deadline_us} is less than latency_objective_us "
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -111,7 +111,7 @@
 # --- rate limiter
 
 
-def test_the_rate_is_unlimited_until_the_first_rejection_and_halves_once_per_round() -> None:
+def test_the_rate_is_unlimited_until_the_first_rejection_and_halves_once_per_round_trip() -> None:
     driver = make_driver(slots=40)
     for n in range(8):
         driver.submit_message(f"m{n}")
@@ -123,7 +123,7 @@
     assert limiter.rate == pytest.approx(4.0)
     driver.finish_attempt("m1", AttemptStatus.FULL)
     driver.finish_attempt("m2", AttemptStatus.FULL)
-    assert limiter.rate == pytest.approx(4.0)  # the same round
+    assert limiter.rate == pytest.approx(4.0)  # the same round trip
     driver.finish_attempt("m3", AttemptStatus.OK)
     assert limiter.rate is not None and limiter.rate > 4.0
 
@@ -141,7 +141,7 @@
     assert limiter.rate >= 7.0  # quick recovery
 
 
-def test_a_late_rejection_counts_as_one_call_per_second() -> None:
+def test_a_rejection_after_a_second_without_sends_starts_from_one_call_per_second() -> None:
     limiter = rate_limit.RateLimiter()
     limiter.record_send(0)
     limiter.on_rejection(3 * SECOND, 0, (0.0, 1e9))
@@ -313,7 +313,7 @@
     assert len(driver.sends) == before + 1
 
 
-def test_failure_of_most_calls_is_an_outage_and_of_a_third_is_not() -> None:
+def test_failure_of_most_calls_is_an_outage_and_of_two_in_five_is_not() -> None:
     """Two consecutive errors are common at a destination that serves most of its calls."""
     driver = make_driver(slots=20)
     endpoint = driver.sender.state.endpoints["a:1"]
@@ -556,7 +556,7 @@
     for n in range(200):
         driver.submit_message(f"m{n}")
         driver.finish_attempt(f"m{n}", AttemptStatus.OK)
-    assert not any(len(queue) for pair in driver.sender.state.return_queues.values() for queue in pair)
+    assert not any(len(queue) for pair in driver.sender.state.shedding_queues.values() for queue in pair)
     assert not driver.sender.state.destinations[1].waiting and not driver.sender.state.messages
 
 
@@ -614,7 +614,7 @@
 
 
 def test_policy_modules_are_small_and_perform_no_io() -> None:
-    """Holds imports and module length, and that the deploy file lists every module."""
+    """Checks imports, line and module length, and that the deploy file lists every module."""
     allowed = {"collections", "dataclasses", "functools", "heapq", "itertools", "math", "random", "typing"}
     allowed |= {"honeybarrow"}
     folder = Path(backoff.__file__).parent
--- a/tests/test_priority_queue.py
+++ b/tests/test_priority_queue.py
@@ -117,23 +117,23 @@
     flat = [run for number in range(len(groups)) for run in runs[number]]
     merged = [item for _, item in heapq.merge(*flat, key=lambda pair: -pair[0])]
 
-    def weigh(number: int) -> Iterator[Iterator[tuple[float, str]]]:
+    def evaluate(number: int) -> Iterator[Iterator[tuple[float, str]]]:
         return (iter(run) for run in runs[number])
 
-    assert list(HeaviestFirstMerge(rank, weigh, math.log)) == merged
+    assert list(HeaviestFirstMerge(rank, evaluate, math.log)) == merged
 
 
 def test_groups_below_the_best_item_are_not_evaluated() -> None:
     rank: IndexedPriorityQueue[int] = IndexedPriorityQueue()
     for number in range(1000):
         rank.put(number, -math.log(number + 1), number)
-    weighed = []
+    evaluated = []
 
-    def weigh(number: int) -> Iterator[Iterator[tuple[float, int]]]:
-        weighed.append(number)
+    def evaluate(number: int) -> Iterator[Iterator[tuple[float, int]]]:
+        evaluated.append(number)
         yield iter([(number + 1.0, number)])
 
-    best = HeaviestFirstMerge(rank, weigh, math.log)
+    best = HeaviestFirstMerge(rank, evaluate, math.log)
     assert [item for item, _ in zip(best, range(3), strict=False)] == [999, 998, 997]
-    assert weighed == [999, 998, 997, 996] and len(rank) == 996
-    assert best.weighed[999] == (999, 1000.0)
+    assert evaluated == [999, 998, 997, 996] and len(rank) == 996
+    assert best.evaluated[999] == (999, 1000.0)
