--- a/benchmarks/soak_mutants.py
+++ b/benchmarks/soak_mutants.py
@@ -63,7 +63,7 @@
 
 
 GUARD_FILE = "message_guard.py"
-REMOVE_REPEAT_GUARD = (
+REMOVE_RETRY_GUARD = (
     GUARD_FILE,
     "        spec = tracked.message_class\n        if tracked.ambiguous",
     "        return None\n        spec = tracked.message_class\n        if tracked.ambiguous",
@@ -236,7 +236,7 @@
     "non-idempotent messages are repeated": _mutant(
         ENDPOINT_FAULTS,
         ("policy/backoff.py", "        return -1\n", "        return latest\n"),
-        REMOVE_REPEAT_GUARD,
+        REMOVE_RETRY_GUARD,
     ),
     "concurrent attempts that only the guard prevents": _mutant(
         ENDPOINT_FAULTS,
--- a/honeybarrow/log_timeline.py
+++ b/honeybarrow/log_timeline.py
@@ -94,10 +94,11 @@
 def _estimate_elapsed_us(
     anchor: ClockAnchor | None, newest_log_time_us: int, reading: ClockReading, start: TimelineStart
 ) -> int:
-    """Return a lower estimate of the time since the newest record.
+    """Return an estimate of the time since the newest record, by the wall clock.
 
-    The wall clock may have been set back meanwhile. The estimate is never negative, because expired messages
-    would become valid again, and after a reboot it is at least the uptime of the machine.
+    The wall clock may have been set meanwhile. The estimate is never negative, since log time that runs
+    backwards would make expired messages valid again. After a reboot it is at least the uptime of the
+    machine.
     """
     wall_us = newest_log_time_us if anchor is None else _wall_time_us(anchor, newest_log_time_us)
     uptime_us = reading.monotonic_us if start is TimelineStart.OTHER_BOOT and reading.boot_id else 0
--- a/honeybarrow/message_guard.py
+++ b/honeybarrow/message_guard.py
@@ -1,7 +1,7 @@
 """Run-time checks of the delivery guarantees of messages.
 
 :class:`MessageGuard` is asked before each step that could break a guarantee: before a message is forwarded
-(:meth:`MessageGuard.may_forward`) or retried (:meth:`MessageGuard.may_repeat`), before it is acknowledged or
+(:meth:`MessageGuard.may_forward`) or retried (:meth:`MessageGuard.may_retry`), before it is acknowledged or
 completed (``may_acknowledge``, ``may_end``), before its final result is reported (``may_notify``), and before
 a client connection is closed (``may_close_connection``). :func:`may_start_attempt` and :func:`may_resume`
 cover shutdown and restart. Each check returns ``None`` if the step is allowed, else a :class:`Refusal`.
@@ -173,9 +173,9 @@
         self._order_key_cooldown_us = settings.order_key_cooldown_us
         self._messages: dict[str, _TrackedMessage] = {}
         self._endpoints: dict[str, _TrackedEndpoint] = {}
-        self._backoff_until_us: dict[str | int, int] = {}  # by endpoint scope
+        self._retry_after_until_us: dict[str | int, int] = {}  # by endpoint scope
         self._order_queues: dict[int, OrderedDict[str, None]] = {}  # by order key, in order of acceptance
-        self._order_key_paused_until_us: dict[int, int] = {}
+        self._order_key_cooldown_until_us: dict[int, int] = {}
 
     # Events
 
@@ -241,18 +241,22 @@
         is_ambiguous = tracked.ambiguous_since_us is not None
         tracked.state = MessageState.AMBIGUOUS if is_ambiguous else MessageState.WAITING
         if starts_key_cooldown and not not_run and tracked.order_key is not None:
-            pauses = {key: until for key, until in self._order_key_paused_until_us.items() if until > now_us}
-            pauses[tracked.order_key] = now_us + self._order_key_cooldown_us
-            self._order_key_paused_until_us = pauses
+            cooldowns = {
+                key: until for key, until in self._order_key_cooldown_until_us.items() if until > now_us
+            }
+            cooldowns[tracked.order_key] = now_us + self._order_key_cooldown_us
+            self._order_key_cooldown_until_us = cooldowns
 
     def on_retry_after(self, target: str, now_us: int, retry_after_us: int) -> None:
         """Record a Retry-After that an endpoint has sent."""
         endpoint = self._endpoints.get(target)
         if endpoint is None or retry_after_us <= 0:
             return
-        waits = {scope: until for scope, until in self._backoff_until_us.items() if until > now_us}
-        waits[endpoint.scope] = max(waits.get(endpoint.scope, 0), now_us + retry_after_us)
-        self._backoff_until_us = waits
+        until_by_scope = {
+            scope: until for scope, until in self._retry_after_until_us.items() if until > now_us
+        }
+        until_by_scope[endpoint.scope] = max(until_by_scope.get(endpoint.scope, 0), now_us + retry_after_us)
+        self._retry_after_until_us = until_by_scope
 
     def on_endpoint_list(self, update: MembershipUpdate) -> None:
         """Apply an endpoint list or a change to it, as soon as it is read."""
@@ -287,8 +291,8 @@
         if (tracked := self._messages.get(message)) is not None:
             tracked.awaits_notification = True
 
-    def on_acknowledged(self, message: str) -> None:
-        """Record that the platform has acknowledged the final result."""
+    def on_notification_acknowledged(self, message: str) -> None:
+        """Record that the platform has acknowledged the notification of the final result."""
         if (tracked := self._messages.get(message)) is not None:
             tracked.awaits_notification = False
             self._forget_if_finished(message, tracked)
@@ -346,7 +350,7 @@
             return Refusal.EXPIRED
         return (
             self._refuse_endpoint(target, now_us)
-            or self._refuse_repeat(tracked, now_us, self._endpoints[target].zone)
+            or self._refuse_retry(tracked, now_us, self._endpoints[target].zone)
             or self._refuse_order(message, tracked, now_us)
             or may_start_attempt(tracked.message_class.idempotency, shutdown_age_us)
         )
@@ -359,7 +363,7 @@
         endpoint = self._endpoints.get(target)
         if endpoint is None or not endpoint.is_usable:
             return Refusal.DRAINING
-        return Refusal.WAITING if self._backoff_until_us.get(endpoint.scope, 0) > now_us else None
+        return Refusal.WAITING if self._retry_after_until_us.get(endpoint.scope, 0) > now_us else None
 
     def _refuse_order(self, message: str, tracked: _TrackedMessage, now_us: int) -> Refusal | None:
         key = tracked.order_key
@@ -370,15 +374,15 @@
             is_ending = self._messages[first].state is MessageState.ENDING
             return Refusal.BEHIND_ENDING if is_ending else Refusal.BEHIND_IN_ORDER
         is_first_attempt = tracked.state is MessageState.ACCEPTED
-        is_paused = is_first_attempt and self._order_key_paused_until_us.get(key, 0) > now_us
-        return Refusal.ORDER_KEY_COOLDOWN if is_paused else None
+        is_cooling_down = is_first_attempt and self._order_key_cooldown_until_us.get(key, 0) > now_us
+        return Refusal.ORDER_KEY_COOLDOWN if is_cooling_down else None
 
-    def may_repeat(self, message: str, now_us: int, zone: str = "") -> Refusal | None:
+    def may_retry(self, message: str, now_us: int, zone: str = "") -> Refusal | None:
         """Return why no further attempt may run, regardless of the deadline, or ``None``."""
         tracked = self._messages.get(message)
-        return Refusal.UNKNOWN if tracked is None else self._refuse_repeat(tracked, now_us, zone)
+        return Refusal.UNKNOWN if tracked is None else self._refuse_retry(tracked, now_us, zone)
 
-    def _refuse_repeat(self, tracked: _TrackedMessage, now_us: int, zone: str) -> Refusal | None:
+    def _refuse_retry(self, tracked: _TrackedMessage, now_us: int, zone: str) -> Refusal | None:
         spec = tracked.message_class
         if tracked.ambiguous_since_us is None or spec.idempotency is Idempotency.IDEMPOTENT:
             return None
--- a/honeybarrow/node/submission.py
+++ b/honeybarrow/node/submission.py
@@ -258,7 +258,7 @@
     def on_notifications_acknowledged(self, messages: list[str]) -> None:
         """Complete the messages whose notifications the platform acknowledged."""
         for message in messages:
-            self.guard.on_acknowledged(message)
+            self.guard.on_notification_acknowledged(message)
             self.write_ahead_log.record_completed(message)
         self.write_ahead_log.commit()
 
--- a/honeybarrow/ports.py
+++ b/honeybarrow/ports.py
@@ -1,7 +1,7 @@
 """Protocols of the program's dependencies: clock, network, logger, observers and message log.
 
-Implementations are passed in as arguments. Twisted's reactor and its ``task.Clock`` satisfy the first ones,
-as does a simulated reactor; the mixed-case names are Twisted's.
+Implementations are passed in as arguments. Twisted's reactor and the simulated one implement
+:class:`Reactor`, and Twisted's ``task.Clock`` implements :class:`Clock`; the mixed-case names are Twisted's.
 """
 
 from __future__ import annotations
@@ -71,9 +71,10 @@
         ...
 
     def record_permitted_start(self) -> str:
-        """Record the start without checking the permission again, right after :meth:`refusal_reason`.
+        """Record the start without checking the permission; call it right after :meth:`refusal_reason`.
 
-        A second check could fail because an observer of attempts withdraws the endpoint at this very start.
+        An observer that is notified of the attempt may withdraw the endpoint, so that a second check would
+        refuse an attempt that the first one allowed.
         """
         ...
 
--- a/tests/guard_search.py
+++ b/tests/guard_search.py
@@ -210,7 +210,7 @@
     is_held = not history.is_result_recorded and state.now_us < history.expires_us
     state.fail_if(is_held, "notified before its result was recorded")
     history.is_notified = True
-    state.guard.on_acknowledged(name)
+    state.guard.on_notification_acknowledged(name)
 
 
 def wait(state: SearchState, name: str) -> None:
@@ -295,5 +295,5 @@
 def _fingerprint(state: SearchState) -> str:
     guard = {name: value for name, value in vars(state.guard).items() if name != "violation_counts"}
     own = {name: value for name, value in vars(state).items() if name != "guard"}
-    return repr((own, guard["_messages"], guard["_backoff_until_us"], guard["_endpoints"],
-                 guard["_order_key_paused_until_us"], guard["_order_queues"]))  # fmt: skip
+    return repr((own, guard["_messages"], guard["_retry_after_until_us"], guard["_endpoints"],
+                 guard["_order_key_cooldown_until_us"], guard["_order_queues"]))  # fmt: skip
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -222,7 +222,7 @@
     )
     for module in (admission, backoff, lifecycle):
         monkeypatch.setattr(module, "latest_start_us", ignore_ambiguity)
-    monkeypatch.setattr(MessageGuard, "_refuse_repeat", lambda *args: None)  # it would refuse the repeats
+    monkeypatch.setattr(MessageGuard, "_refuse_retry", lambda *args: None)  # it would refuse the retries
     found = fault_search.search_faults(base, range(1, 13), 1, lambda outcome: None)
     assert found[0].violated_rules == ("effect",)
     minimized = fault_search.minimize(
--- a/tests/test_message_guard.py
+++ b/tests/test_message_guard.py
@@ -56,7 +56,7 @@
     [
         "may_forward",
         "_refuse_endpoint",
-        "_refuse_repeat",
+        "_refuse_retry",
         "_refuse_order",
         "may_acknowledge",
         "may_end",
@@ -124,6 +124,6 @@
     guard.on_notification_due("m")
     guard.on_settled("m")
     assert guard.get_state("m").value == "ending"
-    guard.on_acknowledged("m")
+    guard.on_notification_acknowledged("m")
     assert guard.get_state("m").value == "ended"
     assert (guard._messages, guard._order_queues) == ({}, {})
