--- a/honeybarrow/http/server.py
+++ b/honeybarrow/http/server.py
@@ -17,7 +17,7 @@
 
 MAX_BUFFER_BYTES = MAX_HEAD_BYTES + MAX_BODY_BYTES  # of pipelined input, beyond which reading pauses
 _REQUEST_LINE = re.compile(rb"([A-Z]{1,16}) (/[\x21-\x7e]{0,1023}) HTTP/1\.([01])")
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     202: "Accepted",
     400: "Bad Request",
@@ -108,25 +108,25 @@
 
     def _next(self) -> Request | InvalidRequest | None:
         buffer = self._buffer
-        if self._head is None and (bad := self._read_head()) is not None:
-            return bad
+        if self._head is None and (error := self._read_head()) is not None:
+            return error
         if self._head is None:
             return None
         if len(buffer) < self._length:
             self.state = ReaderState.PARTIAL
             return None
-        (method, path, fields, close), self._head = self._head, None
+        (method, path, fields, closes_connection), self._head = self._head, None
         body = bytes(buffer[: self._length])
         del buffer[: self._length]
         self.state = ReaderState.RESPONSE
-        return Request(method, path, fields, body, close)
+        return Request(method, path, fields, body, closes_connection)
 
     def _read_head(self) -> InvalidRequest | None:
         """Remove a complete head from the buffer and store it; return an error if it is invalid."""
         buffer = self._buffer
         end = buffer.find(b"\r\n\r\n", 0, MAX_HEAD_BYTES)
         if end < 0:
-            return self._check_part_of_head()
+            return self._check_partial_head()
         head = bytes(buffer[:end])
         if has_bare_line_feed(head):
             return self._reject(400, "bare line feed")
@@ -144,12 +144,12 @@
         self._length = parse_length(length) if length is not None else 0
         if self._length > MAX_BODY_BYTES:
             return self._reject(413, "body too long")
-        close = request_line[3] == b"0" or b"close" in fields.get(b"connection", b"").lower()
-        self._head = (request_line[1].decode(), request_line[2].decode(), fields, close)
+        closes_connection = request_line[3] == b"0" or b"close" in fields.get(b"connection", b"").lower()
+        self._head = (request_line[1].decode(), request_line[2].decode(), fields, closes_connection)
         del buffer[: end + 4]
         return None
 
-    def _check_part_of_head(self) -> InvalidRequest | None:
+    def _check_partial_head(self) -> InvalidRequest | None:
         """Return an error if an incomplete head is already invalid."""
         buffer = self._buffer
         if len(buffer) >= MAX_HEAD_BYTES:
@@ -166,7 +166,7 @@
 def encode_response(status: int, fields: str = "", body: bytes = b"", close: bool = False) -> bytes:
     """Return the bytes of a response; ``fields`` are header lines, each ending with CRLF."""
     ending = "Connection: close\r\n" if close else ""
-    reason = REASONS.get(status, "")
+    reason = REASON_PHRASES.get(status, "")
     head = f"HTTP/1.1 {status} {reason}\r\n{fields}Content-Length: {len(body)}\r\n{ending}\r\n"
     return head.encode("ascii") + body
 
--- a/honeybarrow/node/clock_monitor.py
+++ b/honeybarrow/node/clock_monitor.py
@@ -27,7 +27,7 @@
         self._difference_us = difference_us
         self.step_count += 1
         log.warning(
-            "wall_clock_stepped by_ms=%d total_steps=%d spans=unaffected", step_us / 1000, self.step_count
+            "wall_clock_stepped by_ms=%d total_steps=%d durations=unaffected", step_us / 1000, self.step_count
         )
 
     def _read_difference_us(self) -> int:
--- a/honeybarrow/node/config.py
+++ b/honeybarrow/node/config.py
@@ -47,7 +47,7 @@
 
 def _require_text(value: Any, label: str) -> str:
     if not isinstance(value, str) or not value:
-        raise ConfigError(f"{label} is missing or not a non-empty string")
+        raise ConfigError(f"{label} must be a non-empty string, got {value!r:.60}")
     return value
 
 
@@ -58,10 +58,10 @@
         raise ConfigError(str(error)) from None
 
 
-def _positive_number(values: Mapping[str, Any], key: str, default: float) -> float:
+def _require_positive_number(values: Mapping[str, Any], key: str, default: float) -> float:
     value = values.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not value > 0:
-        raise ConfigError(f"limits.{key} is not a positive number")
+        raise ConfigError(f"limits.{key} must be a positive number, got {value!r:.60}")
     return float(value)
 
 
@@ -80,9 +80,9 @@
     if not isinstance(limits, dict):
         raise ConfigError("limits is not an object")
     try:
-        number = int(str(seed), 16)
+        seed_number = int(str(seed), 16)
     except ValueError:
-        raise ConfigError("seed is not a hexadecimal number") from None
+        raise ConfigError(f"seed must be a hexadecimal number, got {str(seed)[:60]!r}") from None
     try:
         settings = parse_settings(values.get("settings"))
         validate_settings(settings)
@@ -99,10 +99,10 @@
             values.get("discovery") or environ.get("ROUTER_DISCOVERY"), "discovery"
         ),
         state_folder=_require_text(environ.get("ROUTER_STATE"), "ROUTER_STATE"),
-        seed=number,
+        seed=seed_number,
         limits=ResourceLimits(
-            int(_positive_number(limits, "sockets", 1024)),
-            int(_positive_number(limits, "disk_mb", 3.0) * 1_000_000),
+            int(_require_positive_number(limits, "sockets", 1024)),
+            int(_require_positive_number(limits, "disk_mb", 3.0) * 1_000_000),
         ),
         saved_list=saved,
         settings=settings,
--- a/honeybarrow/node/discovery.py
+++ b/honeybarrow/node/discovery.py
@@ -4,8 +4,8 @@
 heartbeat therefore reopens the watch at once, from the current version. If the new watch fails as well, the
 policy is notified and decides when to subscribe again. At most one watch is open.
 
-After a failed, refused or timed-out request, a change must be applied within 6 s of discovery being
-reachable. The worst case is a request that begins just before that: ``ANSWER_TIMEOUT_S``, plus the policy's
+After a failed, rejected or timed-out request, a change must be applied within 6 s of discovery being
+reachable. The worst case is a request that begins just before that: ``RESPONSE_TIMEOUT_S``, plus the policy's
 longest backoff, plus the response time of the next request.
 
 An overloaded discovery may reject requests for longer than that. The list counts as outdated if discovery has
@@ -32,11 +32,11 @@
 
 HEARTBEAT_INTERVAL_S = 2.0  # between empty lines of an unchanged list, defined by the platform's protocol
 WATCH_TIMEOUT_S = 1.3 * HEARTBEAT_INTERVAL_S  # without an item or a heartbeat
-ANSWER_TIMEOUT_S = 2.2  # from the connect to the response head; two of these fit into 6 s
+RESPONSE_TIMEOUT_S = 2.2  # from the connect to the response head; two of these fit into 6 s
 MAX_LIST_AGE_S = 5.9  # since the last item or heartbeat; below the required 6 s
-MAX_LIST_AGE_AFTER_MOVE_S = 3.9  # since the start or a change of address; below the required 4 s
+MAX_LIST_AGE_AFTER_START_S = 3.9  # since the start or a change of address; below the required 4 s
 # An overloaded discovery rejects requests within this time; a gateway reports an unreachable one later.
-MAX_REFUSAL_DELAY_S = 1.0
+MAX_REJECTION_DELAY_S = 1.0
 log = logging.getLogger("honeybarrow.node")
 
 
@@ -74,14 +74,16 @@
                 return
             match event:
                 case http.Head(status) if status != 200:
-                    self.discovery.on_watch_refused(self)
-                    self.discovery.on_watch_failed(self, f"discovery answers {status}")
+                    self.discovery.on_watch_rejected(self)
+                    self.discovery.on_watch_failed(
+                        self, f"discovery responded with status {status}, expected 200"
+                    )
                 case http.Head():
                     self.discovery.on_watch_activity(self)
                 case http.Data(part):
                     self._receive_items(part)
                 case http.Complete() | http.InvalidResponse():
-                    self.discovery.on_watch_failed(self, "the watch has ended")
+                    self.discovery.on_watch_failed(self, "the response of the watch ended or is invalid")
 
     def _receive_items(self, part: bytes) -> None:
         before = self.items.activity_count
@@ -130,7 +132,7 @@
         self._timer: DelayedCall | None = None
         self._is_subscribed = False
         self.is_outdated = False  # the current list may lack changes that must be applied by now
-        self._outdated_at_s = clock.seconds() + MAX_LIST_AGE_AFTER_MOVE_S
+        self._outdated_at_s = clock.seconds() + MAX_LIST_AGE_AFTER_START_S
         self._outdated_timer: DelayedCall | None = None  # from a rejection to the next item or heartbeat
 
     def subscribe(self) -> None:
@@ -144,7 +146,7 @@
         if address == self.address:
             return
         self.address = address
-        self._outdated_at_s = min(self._outdated_at_s, self.clock.seconds() + MAX_LIST_AGE_AFTER_MOVE_S)
+        self._outdated_at_s = min(self._outdated_at_s, self.clock.seconds() + MAX_LIST_AGE_AFTER_START_S)
         if self._outdated_timer is not None:
             self._set_outdated_timer()
         self.close()
@@ -163,8 +165,8 @@
     def _open_watch(self) -> None:
         host, port = self.address
         self._watch = watch = _Watch(self, host, self.version)
-        self._set_timer(ANSWER_TIMEOUT_S)
-        self.network.connectTCP(host, port, Connector(watch), timeout=ANSWER_TIMEOUT_S)
+        self._set_timer(RESPONSE_TIMEOUT_S)
+        self.network.connectTCP(host, port, Connector(watch), timeout=RESPONSE_TIMEOUT_S)
 
     def _set_timer(self, seconds: float | None) -> None:
         if self._timer is not None and self._timer.active():
@@ -175,7 +177,7 @@
 
     def _on_watch_timeout(self, watch: _Watch) -> None:
         if not watch.has_answered:
-            self.on_watch_failed(watch, "no answer")
+            self.on_watch_failed(watch, f"no response within {RESPONSE_TIMEOUT_S} s")
             return
         # Reopened at once; with the policy's backoff the list could exceed its maximum age.
         log.info("watch_timeout reopening=True")
@@ -188,9 +190,9 @@
             watch.has_answered = True
             self._set_timer(WATCH_TIMEOUT_S)
 
-    def on_watch_refused(self, watch: _Watch) -> None:
+    def on_watch_rejected(self, watch: _Watch) -> None:
         """Limit the age of the list after a response with an error status that arrived quickly."""
-        is_quick = self.clock.seconds() - watch.requested_at_s <= MAX_REFUSAL_DELAY_S
+        is_quick = self.clock.seconds() - watch.requested_at_s <= MAX_REJECTION_DELAY_S
         if watch is self._watch and is_quick and self._outdated_timer is None:
             self._set_outdated_timer()
 
--- a/honeybarrow/node/endpoint_list.py
+++ b/honeybarrow/node/endpoint_list.py
@@ -30,8 +30,8 @@
     """
     host, colon, port = text.rpartition(":")
     parts = host.split(".")
-    digits = len(parts) == 4 and all(p.isdigit() and len(p) <= 3 and int(p) < 256 for p in parts)
-    if not colon or not digits or not port.isdigit() or len(port) > 5 or not 0 < int(port) < 65536:
+    is_ipv4 = len(parts) == 4 and all(p.isdigit() and len(p) <= 3 and int(p) < 256 for p in parts)
+    if not colon or not is_ipv4 or not port.isdigit() or len(port) > 5 or not 0 < int(port) < 65536:
         raise ValueError(f"{label} {text[:60]!r} is not address:port")
     return host, int(port)
 
@@ -145,8 +145,10 @@
 
 def _parse_entry(row: Any) -> tuple[Endpoint, SocketAddress | None]:
     name, group, state = row["name"], row["group"], STATE_BY_STATUS[row["status"]]
-    if not isinstance(name, str) or not name or isinstance(group, bool) or not isinstance(group, int):
-        raise ValueError("'name' is not a non-empty string or 'group' is not an integer")
+    if not isinstance(name, str) or not name:
+        raise ValueError("'name' is not a non-empty string")
+    if isinstance(group, bool) or not isinstance(group, int):
+        raise ValueError("'group' is not an integer")
     weight = row.get("weight", 1.0)
     if isinstance(weight, bool) or not isinstance(weight, int | float):
         raise ValueError("'weight' is not a number")
--- a/honeybarrow/node/front.py
+++ b/honeybarrow/node/front.py
@@ -80,7 +80,7 @@
         self.front.on_connected(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Read requests; input after the half-close is discarded, and the client can tell from the close."""
+        """Read requests; input after the half-close is discarded, and gets no response before the close."""
         if self.is_closing:
             self.lingered_bytes += len(data)
             if self.lingered_bytes > MAX_LINGER_BYTES:
@@ -106,7 +106,9 @@
                 return
             if isinstance(event, http.InvalidRequest):
                 self.front.bad_request_count += 1
-                remedy = "the client has to send what HTTP/1.1 and the protocol's bounds allow"
+                remedy = (
+                    "correct the client: its requests must be valid HTTP/1.1 within the protocol's limits"
+                )
                 self.front.bad_request_log.warn(f"bad_request status={event.status}", event.reason, remedy)
                 self.finish(http.encode_response(event.status, close=True))
                 return
--- a/honeybarrow/node/http_call.py
+++ b/honeybarrow/node/http_call.py
@@ -31,7 +31,7 @@
 class HttpPayload:
     """Message as submitted by the client.
 
-    ``expires_at_us`` is a time of the write-ahead log's clock and is stored with the message.
+    ``expires_at_us`` is in log time, see :mod:`honeybarrow.log_timeline`, and is stored with the message.
     """
 
     message: str
@@ -84,8 +84,8 @@
     def on_connection_ready(self, connection: HttpConnection) -> None:
         """Write the request, unless the call is no longer permitted."""
         # While the connection was being established, the target may have left the list, another call may
-        # have received a Retry-After, or the idempotency window may have ended.
-        self.pool.read_arrived_answers()
+        # have received a Retry-After, or the key window may have ended.
+        self.pool.read_arrived_responses()
         is_unlisted = not self.pool.can_send_to(self.target)
         if reason := "the target is no longer listed" if is_unlisted else self.permit.record_start():
             self.finish(AttemptOutcome(AttemptStatus.NOT_SENT, True, reason=reason))
@@ -149,7 +149,8 @@
         connection = self.connection
         is_incomplete = self._is_request_incomplete(connection)
         left_s = self.deadline_s - self.pool.clock.seconds()
-        if self.is_started and not is_incomplete and left_s > 0:  # written since; wait for the response
+        if self.is_started and not is_incomplete and left_s > 0:
+            # The rest was written meanwhile; wait for the response.
             self.is_written = True
             self.timer = self.pool.clock.callLater(left_s, self._on_timeout)
             return
--- a/honeybarrow/node/http_connection_pool.py
+++ b/honeybarrow/node/http_connection_pool.py
@@ -52,7 +52,7 @@
         self.keep_alive = KeepAlivePolicy()
         self.rate_limited_log = RateLimitedLog(clock.seconds)
         self._idle_by_target: dict[str, list[HttpConnection]] = {}
-        # The call is delivered, but the response body is incomplete.
+        # Connections whose call is finished as delivered, but whose response body is incomplete.
         self._awaiting_rest: dict[HttpConnection, None] = {}
         self.idle_count = 0
         clock.callLater(SWEEP_INTERVAL_S, self._close_expired)
@@ -82,7 +82,7 @@
         """Number of calls without an outcome."""
         return len(self.active_calls)
 
-    def read_arrived_answers(self) -> None:
+    def read_arrived_responses(self) -> None:
         """Read pending responses of started calls, at most once per ``READ_INTERVAL_S``."""
         # In a long reactor iteration, a Retry-After may arrive after the poll. It must be read before another
         # call is written to its destination.
--- a/honeybarrow/node/keep_alive.py
+++ b/honeybarrow/node/keep_alive.py
@@ -15,8 +15,8 @@
 IDLE_AGE_BUCKETS_US = (50_000, 100_000, 200_000, 400_000, 800_000, 1_600_000, 3_200_000, 6_400_000)
 DECAY_US = 30_000_000  # time constant of the counts; rejected idle ages are tried again later
 PRIOR_CALLS = 20.0  # assumed successful calls of each bucket
-# Loss rates above that of new connections from which a new connection is preferred. The limit is lower for
-# non-idempotent calls because they can't be retried.
+# A connection is not reused if the loss rate of its idle age exceeds that of new connections by more than
+# this. The limit is lower for non-idempotent calls because they can't be retried.
 MAX_EXCESS_LOSS_NON_IDEMPOTENT = 0.02
 MAX_EXCESS_LOSS_IDEMPOTENT = 0.2
 _UNLIMITED_US = 1 << 62
--- a/honeybarrow/node/notifications.py
+++ b/honeybarrow/node/notifications.py
@@ -19,9 +19,9 @@
 MAX_BATCH_SIZE = 200  # notifications in one request
 # Doubled from the first value up to the second. A notification must arrive within 0.3 s of its message's
 # deadline, so an unresponsive connection is replaced early.
-MIN_ANSWER_TIMEOUT_S, MAX_ANSWER_TIMEOUT_S = 0.2, 1.0
-HOLD_CHECK_S = 0.05  # between checks for notifications that are not sendable yet
-CONNECT_TIMEOUT_S = 3.0  # other connections may be tried meanwhile
+MIN_RESPONSE_TIMEOUT_S, MAX_RESPONSE_TIMEOUT_S = 0.2, 1.0
+NOTIFIABLE_CHECK_INTERVAL_S = 0.05  # between checks for notifications whose results are not on disk yet
+CONNECT_TIMEOUT_S = 3.0  # after the response timeout, another connection is tried at the same time
 MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.05, 1.0  # exponential backoff after a failure
 MAX_QUICK_CONNECTS = 20  # consecutive failed connects that are retried after the minimum delay
 MAX_IDLE_S = 1.5  # of a keep-alive connection that is reused
@@ -81,10 +81,10 @@
                 case http.Complete(is_reusable):
                     self.reader = None
                     status = reader.status if reader is not None else None
-                    self.sender.on_answer(self, status or 0, is_reusable)
+                    self.sender.on_response(self, status or 0, is_reusable)
                 case http.InvalidResponse(status):
                     self.reader = None
-                    self.sender.on_answer(self, status or 0, False)
+                    self.sender.on_response(self, status or 0, False)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Report the loss of the connection to the sender."""
@@ -94,7 +94,7 @@
 class NotificationSender:
     """Sends notifications in order until the platform acknowledges them.
 
-    ``select_sendable`` returns those of the given messages whose results are on disk. ``on_acknowledged``
+    ``select_notifiable`` returns those of the given messages whose results are on disk. ``on_acknowledged``
     receives the messages whose notifications were acknowledged.
     """
 
@@ -103,11 +103,11 @@
         network: Network,
         clock: Clock,
         address: tuple[str, int],
-        select_sendable: Callable[[Iterable[str]], list[str]],
+        select_notifiable: Callable[[Iterable[str]], list[str]],
         on_acknowledged: Callable[[list[str]], None],
     ) -> None:
         self.network, self.clock, self.address = network, clock, address
-        self._select_sendable, self._on_acknowledged = select_sendable, on_acknowledged
+        self._select_notifiable, self._on_acknowledged = select_notifiable, on_acknowledged
         self.unacknowledged: dict[str, str] = {}  # JSON lines by message id
         self._active: _NotificationConnection | None = None
         # Timed out and sent again on another connection; a late acknowledgement still counts.
@@ -115,7 +115,7 @@
         self._idle: _NotificationConnection | None = None
         self._retry_delay_s = MIN_RETRY_DELAY_S
         self._failed_connects = 0  # since the last acknowledgement
-        self._answer_timeout_s = MIN_ANSWER_TIMEOUT_S
+        self._response_timeout_s = MIN_RESPONSE_TIMEOUT_S
         self._timer: DelayedCall | None = None
         self._is_flushable = False  # the timer waits only for the end of the current reactor iteration
 
@@ -155,9 +155,9 @@
         self._timer = None
         if self._active is not None or not self.unacknowledged:
             return
-        batch = self._select_sendable(self.unacknowledged)[:MAX_BATCH_SIZE]
+        batch = self._select_notifiable(self.unacknowledged)[:MAX_BATCH_SIZE]
         if not batch:
-            self._timer = self.clock.callLater(HOLD_CHECK_S, self._send_batch)
+            self._timer = self.clock.callLater(NOTIFIABLE_CHECK_INTERVAL_S, self._send_batch)
             return
         connection, self._idle = self._idle, None
         if connection is not None:
@@ -166,17 +166,17 @@
             ):
                 self._active, connection.batch = connection, batch
                 self._timer = self.clock.callLater(
-                    self._answer_timeout_s, self._on_answer_timeout, connection
+                    self._response_timeout_s, self._on_response_timeout, connection
                 )
                 connection.write_batch()
                 return
             connection.transport.abortConnection()
         self._active = connection = _NotificationConnection(self, self.address[0])
         connection.batch = batch
-        self._timer = self.clock.callLater(self._answer_timeout_s, self._on_answer_timeout, connection)
+        self._timer = self.clock.callLater(self._response_timeout_s, self._on_response_timeout, connection)
         self.network.connectTCP(*self.address, Connector(connection), timeout=CONNECT_TIMEOUT_S)
 
-    def on_answer(self, connection: _NotificationConnection, status: int, is_reusable: bool) -> None:
+    def on_response(self, connection: _NotificationConnection, status: int, is_reusable: bool) -> None:
         """Handle the response to a batch; ``is_reusable`` means that the connection may carry another."""
         if connection in self._late:
             self._late.remove(connection)
@@ -189,12 +189,12 @@
         self._clear_timer()
         self._active = None
         if status != ACKNOWLEDGED_STATUS:
-            log.warning("notification_rejected status=%d", status)
+            log.warning("notification_rejected status=%d expected=%d", status, ACKNOWLEDGED_STATUS)
             connection.transport.abortConnection()
             self._schedule_retry("rejected", connection.batch)
             return
         self._acknowledge(connection.batch)
-        self._retry_delay_s, self._answer_timeout_s = MIN_RETRY_DELAY_S, MIN_ANSWER_TIMEOUT_S
+        self._retry_delay_s, self._response_timeout_s = MIN_RETRY_DELAY_S, MIN_RESPONSE_TIMEOUT_S
         self._failed_connects = 0
         if is_reusable:
             self._idle, connection.idle_since_s = connection, self.clock.seconds()
@@ -223,14 +223,14 @@
                 self._retry_delay_s = MIN_RETRY_DELAY_S
             self._schedule_retry("connection_lost", connection.batch)
 
-    def _on_answer_timeout(self, connection: _NotificationConnection) -> None:
+    def _on_response_timeout(self, connection: _NotificationConnection) -> None:
         self._timer = None
         if connection is self._active:
             self._active = None
             self._late.append(connection)
             if len(self._late) > MAX_LATE_CONNECTIONS:
                 _abort(self._late.pop(0))
-            self._answer_timeout_s = min(MAX_ANSWER_TIMEOUT_S, self._answer_timeout_s * 2)
+            self._response_timeout_s = min(MAX_RESPONSE_TIMEOUT_S, self._response_timeout_s * 2)
             self._schedule_retry("no_answer", connection.batch)
 
     def _schedule_retry(self, reason: str, batch: list[str]) -> None:
--- a/honeybarrow/node/process.py
+++ b/honeybarrow/node/process.py
@@ -279,7 +279,7 @@
         self._on_membership_update(update)
 
     def _on_list_outdated(self, is_outdated: bool) -> None:
-        """Suspend new calls while the list is outdated; waiting messages lose no attempt."""
+        """Suspend new calls while the list is outdated; messages that wait meanwhile use up no attempts."""
         version = self.discovery.version or 0
         if is_outdated:
             log.warning("endpoint_list_outdated version=%d calls=held", version)
--- a/honeybarrow/node/sockets.py
+++ b/honeybarrow/node/sockets.py
@@ -55,8 +55,8 @@
 def half_close(transport: Any) -> None:
     """Shut down the sending side, immediately if no output is buffered.
 
-    Deferring it to the next reactor iteration would let a request be read that is then neither answered nor
-    known to be unread.
+    If it were deferred to the next reactor iteration, a request could be read meanwhile. It would get no
+    response, and the client could not tell that it was not processed.
     """
     transport.loseWriteConnection()
     if getattr(transport, "socket", None) is not None and not has_unwritten_bytes(transport):
--- a/honeybarrow/node/submission.py
+++ b/honeybarrow/node/submission.py
@@ -1,6 +1,7 @@
 """Submission of clients' requests to the forwarder.
 
-Requests become submissions, and their results become responses and notifications.
+The service parses each request, submits its message, and reports the result in the response or, for an
+accepted message, by a notification.
 """
 
 from __future__ import annotations
@@ -122,7 +123,9 @@
 
     def _reject_invalid(self, rejected: RejectedRequest, send_response: SendResponse) -> None:
         self._count_rejection(f"{rejected.status} {rejected.reason}")
-        remedy = "compare the client's request with the settings' classes, tenants and the protocol"
+        remedy = (
+            "compare the client's request with the protocol and with the classes and tenants of the settings"
+        )
         # Values from the request are not logged because they may belong to another customer.
         self.rejection_log.warn(f"request_rejected reason={rejected.reason!r}", str(rejected.status), remedy)
         send_response(http.encode_response(rejected.status, body=rejected.reason.encode(), close=True), True)
--- a/honeybarrow/tcp_transports.py
+++ b/honeybarrow/tcp_transports.py
@@ -151,12 +151,12 @@
 
 
 class ResilientPort(tcp.Port):
-    """Listener that survives all errors of accept(2) and pauses when descriptors or memory run out."""
+    """Listener that survives all errors of accept(2) and pauses after those that may persist."""
 
     transport = ResilientServer
     factory: Any
     _logged_at_s = float("-inf")
-    exhaustion_count = 0  # accept(2) failures for lack of descriptors or memory
+    accept_failure_count = 0  # errors after which accepting was paused
 
     def doRead(self) -> None:  # noqa: N802  Twisted's name
         """Accept pending connections."""
@@ -190,11 +190,11 @@
 
     def _pause_accepting(self, failure: OSError) -> None:
         """Stop accepting for ``ACCEPT_RETRY_DELAY_S``; the kernel queues pending connections meanwhile."""
-        self.exhaustion_count += 1
+        self.accept_failure_count += 1
         now_s = time.monotonic()
         if now_s - self._logged_at_s >= LOG_INTERVAL_S:
             self._logged_at_s = now_s
-            log.warning("accept_failed error=%s count=%d retrying=True", failure, self.exhaustion_count)
+            log.warning("accept_failed error=%s count=%d retrying=True", failure, self.accept_failure_count)
         self.stopReading()
         self.reactor.callLater(ACCEPT_RETRY_DELAY_S, self._resume_accepting)
 
--- a/tests/test_discovery_failures.py
+++ b/tests/test_discovery_failures.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from honeybarrow.node.discovery import ANSWER_TIMEOUT_S, MAX_LIST_AGE_AFTER_MOVE_S, MAX_LIST_AGE_S
+from honeybarrow.node.discovery import MAX_LIST_AGE_AFTER_START_S, MAX_LIST_AGE_S, RESPONSE_TIMEOUT_S
 from honeybarrow.node.endpoint_list import parse_address
 from honeybarrow.policy.membership import POLL_BACKOFF_US
 from tests.forwarder_harness import OK, WATCH_HEAD, ForwarderHarness, PeerConnection
@@ -121,7 +121,7 @@
 
 
 def test_the_worst_sum_of_delay_connect_and_answer_is_under_the_limit() -> None:
-    assert ANSWER_TIMEOUT_S + POLL_BACKOFF_US[1] / 1e6 + ANSWER_TIMEOUT_S < MAX_CHANGE_DELAY_S
+    assert RESPONSE_TIMEOUT_S + POLL_BACKOFF_US[1] / 1e6 + RESPONSE_TIMEOUT_S < MAX_CHANGE_DELAY_S
 
 
 HEARTBEAT = WATCH_HEAD + b"1\r\n\n\r\n"
@@ -226,7 +226,7 @@
 
 
 def test_maximum_list_ages_are_below_the_required_delays() -> None:
-    assert MAX_LIST_AGE_S < MAX_CHANGE_DELAY_S and MAX_LIST_AGE_AFTER_MOVE_S < 4.0
+    assert MAX_LIST_AGE_S < MAX_CHANGE_DELAY_S and MAX_LIST_AGE_AFTER_START_S < 4.0
 
 
 def test_a_crowd_of_idle_clients_stops_neither_watch_nor_calls_nor_notifications(tmp_path: Path) -> None:
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -10,7 +10,7 @@
 
 from honeybarrow.events import Endpoint, EndpointState, UpdateKind
 from honeybarrow.node.config import ForwarderConfig, ResourceLimits
-from honeybarrow.node.discovery import ANSWER_TIMEOUT_S, HEARTBEAT_INTERVAL_S, WATCH_TIMEOUT_S
+from honeybarrow.node.discovery import HEARTBEAT_INTERVAL_S, RESPONSE_TIMEOUT_S, WATCH_TIMEOUT_S
 from honeybarrow.node.endpoint_list import (
     MAX_ITEM_BYTES,
     EndpointList,
@@ -102,10 +102,10 @@
     # The watch is silent from here on. The first attempt to reopen it times out, the policy makes the next.
     bench.clock.pump([0.1] * int((WATCH_TIMEOUT_S + 0.1) * 10))
     assert len(bench.clock.tcpClients) == 2 and bench.failures == []
-    bench.clock.pump([0.1] * int((ANSWER_TIMEOUT_S + 0.1) * 10))
+    bench.clock.pump([0.1] * int((RESPONSE_TIMEOUT_S + 0.1) * 10))
     assert [failure.kind for failure in bench.failures] == [UpdateKind.FAILED]
     first_backoff_s = POLL_BACKOFF_US[0] * 2 / 1e6
-    assert WATCH_TIMEOUT_S + ANSWER_TIMEOUT_S + first_backoff_s < 6
+    assert WATCH_TIMEOUT_S + RESPONSE_TIMEOUT_S + first_backoff_s < 6
     watch.dataReceived(encode_chunk(encode_item() + b"\n"))  # input of the closed watch must be ignored
     bench.discovery.subscribe()
     reopened, transport = bench.connect()
