--- a/tests/forwarder_harness.py
+++ b/tests/forwarder_harness.py
@@ -22,7 +22,7 @@
 from honeybarrow.node.endpoint_list import parse_address, parse_endpoint_list
 from honeybarrow.node.process import ForwarderProcess
 from honeybarrow.tcp_transports import connect_tcp, listen_tcp
-from tests.helpers import settings
+from tests.helpers import make_settings
 
 _Reactor: Any = selectreactor.SelectReactor
 _error: Any = error
@@ -109,7 +109,7 @@
 
     def __init__(self, folder: Path, sockets: int = 256, on_request: bool = True, **changes: Any) -> None:
         self.folder, self.sockets = folder, sockets
-        self.settings = settings(polls_endpoint_list=on_request, **changes)
+        self.settings = make_settings(polls_endpoint_list=on_request, **changes)
         self.now_s = 100.0
         self.booted_s, self.boot_id = 0.0, "first"  # of the simulated machine
         self.wall_step_s = 0.0  # offset of the wall clock from steps
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -48,7 +48,7 @@
     return Clocks(monotonic_us, wall_us or monotonic_us, "boot")
 
 
-def settings(**changes: Any) -> Settings:
+def make_settings(**changes: Any) -> Settings:
     """Return the default test settings with the given changes."""
     values: dict[str, Any] = {
         "classes": CLASSES,
@@ -86,7 +86,7 @@
     """Drives one sender in simulated time: delivers events, fires timers and records actions."""
 
     def __init__(self, **changes: Any) -> None:
-        self.settings = settings(**changes)
+        self.settings = make_settings(**changes)
         self.sender = Sender(self.settings, 7)
         self.now = 0
         self.timers: list[tuple[int, str]] = []
@@ -126,29 +126,29 @@
         self.handle_events(MembershipUpdate(UpdateKind.CHANGES, 1, rows))
 
     def submit_message(
-        self, name: str, kind: str = "note", destination: int = 1, **more: Any
+        self, message: str, class_name: str = "note", destination: int = 1, **more: Any
     ) -> list[Action]:
         """Deliver the arrival of a message; return the actions."""
-        spec = self.sender.classes[kind]
+        spec = self.sender.classes[class_name]
         more.setdefault("time_left_us", spec.deadline_us)
-        return self.handle_events(MessageArrived(name, kind, destination, **more))
+        return self.handle_events(MessageArrived(message, class_name, destination, **more))
 
-    def finish_attempt(self, name: str, status: AttemptStatus, **more: Any) -> list[Action]:
+    def finish_attempt(self, message: str, status: AttemptStatus, **more: Any) -> list[Action]:
         """Finish the newest attempt of a message; return the actions."""
-        send = next(s for _, s in reversed(self.sends) if s.message == name)
+        send = next(s for _, s in reversed(self.sends) if s.message == message)
         is_completed = status is AttemptStatus.OK
-        number = self.attempt_counts[name] - 1
+        number = self.attempt_counts[message] - 1
         return self.handle_events(
-            AttemptFinished(name, number, send.target, status, is_completed=is_completed, **more)
+            AttemptFinished(message, number, send.target, status, is_completed=is_completed, **more)
         )
 
-    def get_send_times(self, name: str) -> list[int]:
+    def get_send_times(self, message: str) -> list[int]:
         """Return the times at which a message was sent."""
-        return [at for at, send in self.sends if send.message == name]
+        return [at for at, send in self.sends if send.message == message]
 
-    def wait_until_sent(self, name: str, limit_us: int = 10 * SECOND) -> bool:
+    def wait_until_sent(self, message: str, limit_us: int = 10 * SECOND) -> bool:
         """Advance the time until a message is sent again; return whether it was within the limit."""
-        before, end = len(self.get_send_times(name)), self.now + limit_us
-        while self.now < end and len(self.get_send_times(name)) == before:
+        before, end = len(self.get_send_times(message)), self.now + limit_us
+        while self.now < end and len(self.get_send_times(message)) == before:
             self.wait(10_000)
-        return len(self.get_send_times(name)) > before
+        return len(self.get_send_times(message)) > before
--- a/tests/platform_bench.py
+++ b/tests/platform_bench.py
@@ -24,7 +24,7 @@
 from honeybarrow.node.submission import SubmissionService
 from honeybarrow.node.write_ahead_log import WriteAheadLog
 from honeybarrow.settings import Tenant
-from tests.helpers import CLASSES, SECOND, FakePermit, make_clocks, settings
+from tests.helpers import CLASSES, SECOND, FakePermit, make_clocks, make_settings
 
 Status = AttemptStatus
 
@@ -116,7 +116,7 @@
         self.write_ahead_log = WriteAheadLog(str(folder), 1_000_000, make_clocks(self.clock_us))
         self.pool = HttpConnectionPool(reactor, reactor, SECOND, 10 * SECOND, 4, (), lambda target: True)
         self.forwarder = Forwarder(
-            settings(tenants=(Tenant("acme", 1000.0),), **changes),
+            make_settings(tenants=(Tenant("acme", 1000.0),), **changes),
             1,
             reactor,
             self.clock_us,
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -16,7 +16,7 @@
 from honeybarrow.events import AttemptStatus, Endpoint, EndpointState, Event, MembershipUpdate, UpdateKind
 from honeybarrow.mail import Path
 from honeybarrow.ports import AttemptPermit
-from tests.helpers import settings
+from tests.helpers import make_settings
 from tests.live import RecordingLog
 
 PAYLOAD = MailPayload(Path("", ""), Path("note", "p.example"), b"x\r\n")
@@ -53,7 +53,7 @@
         self.crashes: list[Exception] = []
         transport: Any = self.transport
         self.forwarder = Forwarder(
-            settings(**changes),
+            make_settings(**changes),
             1,
             self.clock,
             lambda: 10_000_000 + int(self.clock.seconds() * 1e6) + self.time_offset_us,
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -23,7 +23,7 @@
 from honeybarrow.node.write_ahead_log import WriteAheadLog
 from honeybarrow.policy.membership import POLL_BACKOFF_US
 from honeybarrow.recovery import MessageAccepted
-from tests.helpers import SECOND, make_clocks, settings
+from tests.helpers import SECOND, make_clocks, make_settings
 from tests.platform_bench import (
     ENTRY,
     WATCH_HEAD,
@@ -134,7 +134,7 @@
     write_ahead_log.close()
     config = ForwarderConfig(
         "n0", ("127.0.0.1", 9), ("127.0.0.2", 8500), str(tmp_path), 1, ResourceLimits(256, 3_000_000),
-        parse_item(encode_item(status="active")), settings(),
+        parse_item(encode_item(status="active")), make_settings(),
     )  # fmt: skip
     process = ForwarderProcess(config, reactor, make_clocks(now), lambda error: None)
     process.start()
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -25,7 +25,7 @@
 from honeybarrow.policy import admission, backoff, endpoint_health, rate_limit
 from honeybarrow.sender_state import EndpointHealth
 from honeybarrow.settings import Idempotency, MessageClass, UtilityDecay, WeightSource
-from tests.helpers import CLASSES, SECOND, SenderDriver, settings
+from tests.helpers import CLASSES, SECOND, SenderDriver, make_settings
 
 
 def make_driver(*targets: str, **changes: object) -> SenderDriver:
@@ -605,12 +605,12 @@
 @pytest.mark.parametrize("name", ["slots", "max_open", "senders", "max_attempts"])
 def test_counts_below_one_are_rejected(name: str) -> None:
     with pytest.raises(ValueError, match=name):
-        Sender(settings(**{name: 0}), 1)
+        Sender(make_settings(**{name: 0}), 1)
 
 
 def test_a_deadline_below_the_latency_objective_is_rejected() -> None:
     with pytest.raises(ValueError, match="deadline_us"):
-        Sender(settings(classes=(*CLASSES, MessageClass("x", 5, 4))), 1)
+        Sender(make_settings(classes=(*CLASSES, MessageClass("x", 5, 4))), 1)
 
 
 def test_policy_modules_are_small_and_perform_no_io() -> None:
@@ -727,7 +727,7 @@
 
 def test_failure_backoff_grows_with_the_duration_of_the_failures() -> None:
     """Guards against a collapse by many senders with too few failures each to detect the outage."""
-    later: list[int] = []
+    delays: list[int] = []
     for number in range(100):
         classes = (MessageClass("note", 3 * SECOND, 60 * SECOND, late_utility=0.4),)
         driver = SenderDriver(
@@ -743,8 +743,8 @@
             driver.finish_attempt("m", AttemptStatus.CONNECT_FAILED)
             failed = driver.now
             assert driver.wait_until_sent("m", 14 * SECOND)
-            later.append(driver.now - failed)
-    first, second = sorted(later[::2]), sorted(later[1::2])
+            delays.append(driver.now - failed)
+    first, second = sorted(delays[::2]), sorted(delays[1::2])
     assert first[50] > SECOND and second[50] > 3 * SECOND
     for start in range(0, 6 * SECOND, SECOND // 2):  # 100 senders and a growing budget of 6 calls
         capacity = 10.0 * (0.2 + 0.8 * (start / SECOND + 0.75) / 10)
@@ -821,32 +821,36 @@
     driver = SenderDriver(slots=16, max_open=500, weight_source=WeightSource.NOMINAL)
     rows = (Endpoint("a", 1, EndpointState.READY, "shop", weight=30.0),)
     driver.handle_events(MembershipUpdate(UpdateKind.FULL, 1, rows))
-    begin, back = SECOND, 2_300_000
+    silence_start, silence_end = SECOND, 2_300_000
     ended = 0
     for step in range(500):
         if step % 3 == 0:
             driver.submit_message(f"m{step}")
-        out = [call for call in driver.sends[ended:] if driver.now >= call_end_us(call, begin, back)]
-        for at, send in out:
-            status = AttemptStatus.TIMEOUT if begin <= at < back else AttemptStatus.OK
+        finished = [
+            call
+            for call in driver.sends[ended:]
+            if driver.now >= call_end_us(call, silence_start, silence_end)
+        ]
+        for at, send in finished:
+            status = AttemptStatus.TIMEOUT if silence_start <= at < silence_end else AttemptStatus.OK
             driver.finish_attempt(send.message, status)
             driver.sends.remove((at, send))
             driver.sends.insert(ended, (at, send))
             ended += 1
         driver.wait(10_000)
-    sent = [at for at, _ in driver.sends if back <= at < back + SECOND]
+    sent = [at for at, _ in driver.sends if silence_end <= at < silence_end + SECOND]
     assert 0 < len(sent) <= driver.settings.collapse_multiple * 0.3 * 30.0
 
 
-def call_end_us(call: tuple[int, SendAttempt], begin: int, back: int) -> int:
+def call_end_us(call: tuple[int, SendAttempt], silence_start: int, silence_end: int) -> int:
     """Return when a call ends: at its timeout if it was sent during the silence, else at its answer."""
     at, send = call
-    return at + (send.timeout_us if begin <= at < back else 50_000)
+    return at + (send.timeout_us if silence_start <= at < silence_end else 50_000)
 
 
 def test_senders_rejected_together_do_not_return_together() -> None:
     # Each of 150 senders is rejected once within half a second and may send its next call 4 s later.
-    back: list[int] = []
+    return_times: list[int] = []
     for number in range(150):
         driver = SenderDriver(senders=150, weight_source=WeightSource.NOMINAL)
         driver.sender.state.rng.seed(number)
@@ -856,10 +860,10 @@
         driver.submit_message("m")
         driver.finish_attempt("m", AttemptStatus.FULL)
         if driver.wait_until_sent("m", 16 * SECOND):
-            back.append(driver.get_send_times("m")[-1])
-    first = min(back)
-    assert len(back) > 50
-    assert sum(at < first + SECOND for at in back) < len(back) / 2
+            return_times.append(driver.get_send_times("m")[-1])
+    first = min(return_times)
+    assert len(return_times) > 50
+    assert sum(at < first + SECOND for at in return_times) < len(return_times) / 2
 
 
 def test_calls_in_flight_count_as_losses_of_a_short_outage() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -23,8 +23,7 @@
     UpdateKind,
 )
 from honeybarrow.settings import Idempotency, MessageClass
-from tests.helpers import CLASSES, SECOND
-from tests.helpers import settings as make_settings
+from tests.helpers import CLASSES, SECOND, make_settings
 
 MAY_HAVE_RUN = (AttemptStatus.ERROR, AttemptStatus.TIMEOUT, AttemptStatus.RESET)
 GRACE_US = 20_000
--- a/tests/test_submission.py
+++ b/tests/test_submission.py
@@ -40,11 +40,11 @@
         ("m1", "a1"),
         ("m2", "a1"),
     ]
-    again = SubmissionBench(tmp_path / "next")
+    next_bench = SubmissionBench(tmp_path / "next")
     for entry in pending:
-        again.submissions.resume_message(ResumedMessage(entry.accepted, 2 * SECOND, 0, None))
-    again.clock.advance(0.01)
-    assert len(again.clock.tcpClients) == 1
+        next_bench.submissions.resume_message(ResumedMessage(entry.accepted, 2 * SECOND, 0, None))
+    next_bench.clock.advance(0.01)
+    assert len(next_bench.clock.tcpClients) == 1
 
 
 def test_the_next_message_of_an_order_key_waits_until_the_notification_is_acknowledged(
@@ -91,13 +91,16 @@
     assert status_of(transport) == b"202" and events == ["disk", "202", "call"]
     pending = reopen_log(tmp_path, bench).pending_messages.by_id["m1"]
     assert pending.accepted.body == b"hi" and list(pending.in_flight) == []  # nothing was sent yet
-    target, endpoint_transport = bench.clock.tcpClients[-1][2].buildProtocol(None), MemoryTransport()
+    endpoint_connection, endpoint_transport = (
+        bench.clock.tcpClients[-1][2].buildProtocol(None),
+        MemoryTransport(),
+    )
     endpoint_transport.write = recording("bytes", endpoint_transport.write)
-    target.makeConnection(endpoint_transport)
+    endpoint_connection.makeConnection(endpoint_transport)
     assert events == ["disk", "202", "call", "disk", "bytes"]
     pending = reopen_log(tmp_path, bench).pending_messages.by_id["m1"]
     assert list(pending.in_flight) == [0]
-    target.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+    endpoint_connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
     bench.clock.advance(0)
     assert bench.write_ahead_log.pending_messages.by_id == {} and bench.notifications.unacknowledged == {}
 
@@ -130,11 +133,11 @@
     assert [json.loads(line) for line in bench.notifications.unacknowledged.values()] == [
         {"message": "m1", "outcome": "given_up"}
     ]
-    again = reopen_log(tmp_path, bench).pending_messages.by_id["m1"]
-    assert again.final_result == FinalResult("m1", False)
-    link, transport = bench.connect_endpoint()
+    entry = reopen_log(tmp_path, bench).pending_messages.by_id["m1"]
+    assert entry.final_result == FinalResult("m1", False)
+    platform_connection, transport = bench.connect_endpoint()
     assert transport.value().startswith(b"POST /reports HTTP/1.1\r\n")
-    link.dataReceived(b"HTTP/1.1 204 No Content\r\n\r\n")
+    platform_connection.dataReceived(b"HTTP/1.1 204 No Content\r\n\r\n")
     assert bench.notifications.unacknowledged == {} and bench.write_ahead_log.pending_messages.by_id == {}
 
 
@@ -174,7 +177,7 @@
     bench.clock.advance(0)
     bench.submit(client, "m2")
     bench.clock.advance(0)
-    one, other = (factory for *_, factory in (each[:3] for each in bench.clock.tcpClients))
+    one, other = (each[2] for each in bench.clock.tcpClients)
     if change == "wait":
         refused, transport = one.buildProtocol(None), MemoryTransport()
         refused.makeConnection(transport)
@@ -192,19 +195,19 @@
     bench = SubmissionBench(tmp_path)
     bench.submissions.notify_result(FinalResult("m1", True, 250))
     bench.clock.advance(0)
-    link, _ = bench.connect_endpoint()
-    link.dataReceived(b"HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n")
+    platform_connection, _ = bench.connect_endpoint()
+    platform_connection.dataReceived(b"HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n")
     bench.clock.pump([0.05] * 4)
     assert len(bench.clock.tcpClients) == 2  # the second is never connected
     bench.notifications.change_address(("127.0.0.3", 8500))
     assert bench.clock.tcpClients[-1][0] == "127.0.0.3"
-    link, transport = bench.connect_endpoint()
+    platform_connection, transport = bench.connect_endpoint()
     assert json.loads(transport.value().split(b"\r\n\r\n")[1]) == {
         "message": "m1",
         "outcome": "handed_back",
         "retry_in_ms": 250,
     }
-    link.dataReceived(b"HTTP/1.1 204 No Content\r\n\r\n")
+    platform_connection.dataReceived(b"HTTP/1.1 204 No Content\r\n\r\n")
     assert bench.notifications.unacknowledged == {}
 
 
