--- a/honeybarrow/addressing/address_health.py
+++ b/honeybarrow/addressing/address_health.py
@@ -35,7 +35,7 @@
 REPLY_TIMEOUT_FACTOR = 5.0  # multiple of the average reply time
 MIN_REPLY_TIMEOUT_US, DEFAULT_REPLY_TIMEOUT_US = 300_000, SECOND
 KEEP_ALIVE_FRACTION = 0.8  # fraction of the partner's observed idle timeout
-KEEP_ALIVE_GROWTH = 1.25  # growth of the idle timeout estimate when a connection outlives it
+KEEP_ALIVE_GROWTH = 1.25  # factor on the idle timeout estimate when a connection survives its keep-alive time
 MIN_KEEP_ALIVE_US = 100_000
 MAX_BACKOFF_DOUBLINGS = 20  # bounds the exponent; the backoff reaches its maximum well before
 FAMILIES = ("unix", "ipv6", "ipv4")  # in order of preference (RFC 6724 section 2.1 for IPv6 over IPv4)
@@ -167,7 +167,7 @@
         self.on_result(address, "connected", elapsed_us)
 
     def record_greeting(self, now: int, address: Address, target: str, server_name: str) -> None:
-        """Record the server name from a greeting (RFC 5321 section 4.2), which identifies its machine.
+        """Record the server name from a greeting (RFC 5321 section 4.2), the machine name if none is listed.
 
         The name is scoped to the endpoint, since servers of different partners may share a name such as
         localhost.
@@ -232,7 +232,7 @@
         record.idle_limit_us = min(record.idle_limit_us or idle_us, max(1, idle_us))
 
     def record_idle_survival(self, now: int, address: Address, idle_us: int) -> None:
-        """Raise the idle timeout estimate if a connection stayed open for nearly that long."""
+        """Raise the idle timeout estimate if an idle connection stayed open for about its keep-alive time."""
         record = self._records.get(address.socket_key)
         if record is None or not record.idle_limit_us:
             return
--- a/honeybarrow/addressing/connection_race.py
+++ b/honeybarrow/addressing/connection_race.py
@@ -23,7 +23,8 @@
 NEVER = 1 << 62
 REPLY_TIMEOUT_FACTOR = 5.0  # multiple of the average connect time
 MIN_REPLY_TIMEOUT_US = 250_000
-FINAL_REPLY_FRACTION = 0.5  # fraction of the remaining time that is reserved for the final reply
+# Fraction of the remaining time for the replies before the final one; the rest is for the final reply.
+EARLIER_REPLIES_FRACTION = 0.5
 
 
 class RaceFailure(enum.Enum):
@@ -294,7 +295,7 @@
         if self.is_committed or not self.remaining or self._winning_connection is None:
             self._step_due_us = NEVER
             return
-        timeout_us = (self.deadline_us - now) * FINAL_REPLY_FRACTION / (len(self.remaining) + 1)
+        timeout_us = (self.deadline_us - now) * EARLIER_REPLIES_FRACTION / (len(self.remaining) + 1)
         connect_times_us = [self.health.get_connect_time_us(now, address) for address in self._all_addresses]
         usual_us = self.health.get_connect_time_us(now, self._winning_connection.address) or max(
             connect_times_us, default=0.0
--- a/honeybarrow/cli/main.py
+++ b/honeybarrow/cli/main.py
@@ -85,7 +85,7 @@
 @click.argument("file", type=click.Path(path_type=Path))
 @with_log_options
 def stand_ins(file: Path, log_format: str, log_level: str) -> None:
-    """Run the stand-in partners and register of a scenario FILE, with its troubles, until SIGTERM."""
+    """Run the stand-in partners and register of a scenario FILE, with their faults, until SIGTERM."""
     scenario, forwarders = read_scenario(file)
     log = configure_logging(log_format == "json", log_level, stand_ins=scenario.name)
     from twisted.internet.error import CannotListenError
--- a/honeybarrow/client.py
+++ b/honeybarrow/client.py
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The message is not known to be delivered; whether it took effect is unknown.
+    """The message failed. Unless ``is_permanent`` is set, it may have taken effect.
 
     Attributes:
         reason: the text of the reply, or of the connection error.
--- a/honeybarrow/consensus/incarnations.py
+++ b/honeybarrow/consensus/incarnations.py
@@ -25,7 +25,8 @@
 
     A folder restored from an old copy has lost votes and entries, which its content alone does not reveal.
     However, the disk counts each start and each update, so a count lower than one received before shows that
-    the disk was rolled back.
+    the disk was rolled back. Two different incarnations with the same start number show it as well: the disk
+    was started twice from the same state.
     """
 
     def __init__(self) -> None:
--- a/honeybarrow/delivery/results.py
+++ b/honeybarrow/delivery/results.py
@@ -35,11 +35,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The final result of a message that failed, without a guarantee about its effect.
+    """The final result of a message that failed. Unless ``reply`` is set, it may have taken effect.
 
-    ``reply`` is a partner's permanent refusal. ``retry_within_us`` is the time in which the partner still
-    recognizes the message's idempotency key, so that the client may safely retry until then, but not later;
-    ``retry_after_us`` is then the time to wait before that retry.
+    ``reply`` is the reply with which a partner rejected the message permanently. ``retry_within_us`` is the
+    time in which the partner still recognizes the message's idempotency key, so that the client may safely
+    retry until then, but not later; ``retry_after_us`` is then the time to wait before that retry.
     """
 
     label: ClassVar[str] = "failed"
--- a/honeybarrow/fleet/member_table.py
+++ b/honeybarrow/fleet/member_table.py
@@ -41,7 +41,7 @@
 
 
 class LocalHealth:
-    """Lifeguard's local health multiplier, from 0 (healthy) to ``maximum``."""
+    """Lifeguard's local health score, from 0 (healthy) to ``maximum``."""
 
     def __init__(self, maximum: int) -> None:
         self.maximum, self.value = maximum, 0
--- a/honeybarrow/fleet/membership.py
+++ b/honeybarrow/fleet/membership.py
@@ -85,7 +85,7 @@
 
     @property
     def local_health(self) -> int:
-        """Lifeguard's local health multiplier; 0 is healthy."""
+        """Lifeguard's local health score; 0 is healthy."""
         return self._health.value
 
     @property
--- a/honeybarrow/fleet/swim_config.py
+++ b/honeybarrow/fleet/swim_config.py
@@ -24,7 +24,7 @@
     max_suspicion_multiplier: float = 6.0  # maximum suspicion timeout over the minimum
     retransmit_multiplier: float = 3.0  # transmissions per update, times log2(members)
     max_updates_per_message: int = 6
-    max_local_health: int = 8  # upper bound of the local health multiplier
+    max_local_health: int = 8  # upper bound of the local health score
     push_pull_interval_us: int = 20 * SECOND
     left_retention_us: int = 60 * SECOND  # time until a departed member is removed
     max_members: int = 1000
--- a/honeybarrow/fleet/zone_recovery.py
+++ b/honeybarrow/fleet/zone_recovery.py
@@ -35,7 +35,10 @@
 
 @dataclass(slots=True)
 class ZoneRecovery:
-    """A verdict in force and, while it ejects the zone, the current or next probe."""
+    """The latest verdict on a path for one source zone.
+
+    While the verdict ejects the path, this also holds the current or next probe.
+    """
 
     verdict: ZoneVerdict
     decided_us: int
--- a/honeybarrow/lab/consensus_cluster.py
+++ b/honeybarrow/lab/consensus_cluster.py
@@ -40,8 +40,8 @@
 
     KILL = "kill"
     PAUSE = "pause"
-    CUT = "cut"  # from all other members, in both directions
-    ONE_WAY_CUT = "one-way cut"  # messages from the member are lost
+    CUT = "cut"  # links to the unaffected members fail in both directions
+    ONE_WAY_CUT = "one-way cut"  # messages to the unaffected members are lost
     DISK_LOST = "disk lost"
     SLOW_LINKS = "slow links"
     ALL_KILLED = "all killed"
@@ -417,7 +417,7 @@
     """Return the violations of the log's guarantees in a finished run.
 
     All members apply the same entries, acknowledged proposals are neither lost nor reordered, and running
-    members have caught up.
+    members lack at most the last committed entry.
     """
     history = cluster.history
     violations = list(history.violations)
--- a/honeybarrow/lab/interleaving_explorer.py
+++ b/honeybarrow/lab/interleaving_explorer.py
@@ -6,9 +6,9 @@
 thread; the alternatives skipped on the way become prefixes of later runs. The code under test is unmodified
 except that it gets an :class:`ExploredLock`.
 
-Limits: two accesses on one line are not interleaved, nor is code of other modules. Threads do not pause on
-lines that hold a lock, because threads that need the lock could not run; they do pause on an access of the
-same attribute without the lock.
+Limits: two accesses on one line are not interleaved, nor is code of other modules. Threads do not pause at
+lines that they run while holding a lock, because the threads that need the lock could not run; they do pause
+where they access the same attribute without the lock.
 """
 
 from __future__ import annotations
