--- a/honeybarrow/addressing/address_health.py
+++ b/honeybarrow/addressing/address_health.py
@@ -25,7 +25,7 @@
 MIN_CONNECT_DELAY_US, MAX_CONNECT_DELAY_US = 100_000, 2 * SECOND  # RFC 8305 section 8
 CONNECT_DELAY_FACTOR = 3.0  # multiple of the average connect time
 LATENCY_WEIGHT = 0.2  # weight of the newest measurement in the moving average
-SIMILAR_LATENCY_FACTOR = 2.0  # ratio of two latency steps; noise within a step does not change the order
+SIMILAR_LATENCY_FACTOR = 2.0  # ratio of adjacent latency steps; addresses in one step rank equal
 MIN_BACKOFF_US, BACKOFF_FACTOR, MAX_BACKOFF_US = 500_000, 2.0, 60 * SECOND
 NO_FINAL_REPLY_BACKOFF_US = 5 * SECOND  # first backoff of an address that accepts messages without a reply
 BACKOFF_JITTER = 0.25
@@ -142,7 +142,8 @@
         """Return whether the endpoint may get a second connect concurrently with the first.
 
         It may not within the cold period after a failed call: extra connects would overload a partner that is
-        warming up or whose connection table is full, and a partner stays cold beyond its first answer.
+        warming up or whose connection table is full. A successful call does not end the period, because the
+        partner is not yet at full capacity.
         """
         return self._last_failed_call_us.get(target, -self.cold_period_us) <= now - self.cold_period_us
 
--- a/honeybarrow/consensus/config.py
+++ b/honeybarrow/consensus/config.py
@@ -50,5 +50,8 @@
 
     @property
     def leader_lease_us(self) -> int:
-        """How long a round that a majority acknowledged rules out another leader, from when it was sent."""
+        """The time after sending a heartbeat round in which no other leader can be elected.
+
+        Holds for a round that a majority acknowledged.
+        """
         return int(self.election_timeout_us * (1 - 2 * self.max_clock_drift))
--- a/honeybarrow/consensus/election.py
+++ b/honeybarrow/consensus/election.py
@@ -96,7 +96,7 @@
     def hears_leader(self, now_us: int) -> bool:
         """Return whether a leader was heard within the last election timeout.
 
-        A leader hears itself for as long as it is a confirmed leader.
+        For a leader, return whether it is a confirmed leader.
         """
         if self.state.role is Role.LEADER:
             return self.replication.is_confirmed_leader(now_us)
--- a/honeybarrow/consensus/leases.py
+++ b/honeybarrow/consensus/leases.py
@@ -45,7 +45,7 @@
 class Operation(enum.Enum):
     """An operation that depends on the lease status."""
 
-    # Messages of classes that the rule set continues to accept under the last known version.
+    # Messages of classes that are accepted without a lease, under the last known settings.
     ACCEPT_MESSAGE = "accept a message"
     # Messages of all other classes, such as non-idempotent ones; they need a lease.
     ACCEPT_STRICT_MESSAGE = "accept a strict message"
--- a/honeybarrow/consensus/node.py
+++ b/honeybarrow/consensus/node.py
@@ -163,7 +163,7 @@
     def hears_leader(self, now_us: int) -> bool:
         """Return whether a leader was heard within the last election timeout.
 
-        A leader hears itself for as long as it is a confirmed leader.
+        For a leader, return whether it is a confirmed leader.
         """
         return self.election.hears_leader(now_us)
 
--- a/honeybarrow/fleet/call_evidence.py
+++ b/honeybarrow/fleet/call_evidence.py
@@ -103,7 +103,10 @@
             tally.successes += 1
 
     def clear(self) -> None:
-        """Discard all calls, which are late through this process's own fault after it was paused."""
+        """Discard all calls.
+
+        To be called after a pause of this process, which made them late whatever the zone.
+        """
         self._pending.clear()
         self._buckets.clear()
 
--- a/honeybarrow/fleet/replication.py
+++ b/honeybarrow/fleet/replication.py
@@ -43,8 +43,9 @@
 class ReplicatedLog:
     """Description of a log: its primary, the primary's incarnation, its replicas and the ack quorum.
 
-    A replica that lost its disk has lost acknowledged records and accepted fences; as the same replica it
-    could acknowledge records of a fenced primary. So the incarnation of its disk is part of its identity.
+    A replica that lost its disk has lost acknowledged records and accepted fences; if it still counted as the
+    same replica, it could acknowledge records of a fenced primary. The incarnation of its disk is therefore
+    part of its identity.
 
     Raises ``ValueError`` for duplicate replicas, a primary among them, or an unsafe ack quorum.
     """
--- a/honeybarrow/fleet/zone_config.py
+++ b/honeybarrow/fleet/zone_config.py
@@ -27,9 +27,9 @@
     bucket_count: int = 12  # buckets in the window
     min_failures: int = 4  # total over all members
     min_network_path_failures: int = 8  # total over the members of the zone from which the path fails
-    # Failures of one destination that count towards min_failures, so that a single destination that is down
-    # does not look like a failing zone. If fewer destinations than needed reach this number, one more
-    # destination has to fail.
+    # Maximum number of failures of one destination that count towards min_failures, so that a single
+    # destination that is down does not look like a failing zone. A destination with fewer failures fails less
+    # clearly: if too few reach this number, one more failing destination is required.
     min_destination_failures: int = 2
     # Share of failures among completed and pending calls. A value near 0.5 would eject a zone that lost half
     # of its endpoints, and would often be exceeded by chance when an interval has few calls.
@@ -74,7 +74,7 @@
     range.
     """
 
-    tick_us: int = 200_000
+    tick_us: int = 200_000  # interval of ZoneCoordinator.wake
     round_timeout_us: int = 1_500_000  # for the answers to a request for evidence
     request_retry_us: int = 300_000  # until a request without an answer is repeated
     round_backoff_us: int = SECOND  # after an undecided round, times the number of such rounds (at most 4)
--- a/honeybarrow/service.py
+++ b/honeybarrow/service.py
@@ -54,8 +54,7 @@
     Args:
         settings: the checked settings of the forwarder.
         reactor: the network and the timers.
-        now_us: see :class:`honeybarrow.service_parts.Environment`, also for ``format_date``,
-            ``incarnation``, ``seed`` and ``log``.
+        now_us, format_date, incarnation, seed, log: see :class:`honeybarrow.service_parts.Environment`.
         load_saved_list: returns the last saved list of partners, or ``None``.
         save_list: saves the list of partners for the next start.
         on_crash: called after an internal error, once all messages have their final results.
@@ -146,7 +145,7 @@
         ]
 
     def stop(self) -> Deferred[None]:
-        """Stop accepting messages and complete the open ones within ``stop_grace``.
+        """Stop accepting messages and complete the open ones within ``drain_timeout_us``.
 
         The returned Deferred fires when everything is closed.
         """
@@ -169,7 +168,7 @@
         return done
 
     def _on_drain_timeout(self) -> None:
-        """Fail the messages that are still open after ``stop_grace``."""
+        """Fail the messages that are still open after ``drain_timeout_us``."""
         self.log.warning("drain_timeout", open=self.forwarder.open_count)
         self.forwarder.fail_all("shutting down")
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -361,7 +361,7 @@
 
 
 def test_model_runs_include_commits_failovers_and_fencing() -> None:
-    """Guards against a model whose runs exercise nothing."""
+    """Check that the runs of the model contain commits, failovers and fencing."""
     models = [ReplicationModel(seed, 3, 2) for seed in range(40)]
     for model in models:
         for _ in range(400):
