--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -16,7 +16,7 @@
     ConsensusCluster,
     Fault,
     FaultKind,
-    draw_plan,
+    draw_parameters,
     find_violations,
 )
 from honeybarrow.lab.model_checker import SearchResult, explore_states
@@ -45,7 +45,7 @@
 
     Returns its violations and the numbers of acknowledged proposals, leaders and readmitted members.
     """
-    cluster = ConsensusCluster(draw_plan(seed, 3 + 2 * (seed % 2), 2 + seed % 5), seed)
+    cluster = ConsensusCluster(draw_parameters(seed, 3 + 2 * (seed % 2), 2 + seed % 5), seed)
     history = cluster.run()
     return (
         find_violations(cluster),
@@ -62,7 +62,7 @@
         "one is enough": CommitsWithoutQuorum,
         "votes for older": VotesForOlderLog,
     }
-    cluster = ConsensusCluster(draw_plan(seed), seed, mutants[mutant])
+    cluster = ConsensusCluster(draw_parameters(seed), seed, mutants[mutant])
     cluster.run()
     return bool(find_violations(cluster))
 
@@ -105,10 +105,10 @@
 def measure_times() -> None:
     """Print the times to commit a proposal and to elect a new leader, by the delay of the links."""
     for delay in (50, 1_000, 10_000, 50_000):
-        plan = ClusterParameters(
+        parameters = ClusterParameters(
             loss_rate=0.0, duplicate_rate=0.0, delay_range_us=(delay, delay + 1), sync_range_us=(500, 2000)
         )
-        cluster = ConsensusCluster(plan, delay)
+        cluster = ConsensusCluster(parameters, delay)
         waits_us = [each.acknowledged_us - each.proposed_us for each in cluster.run().acknowledged]
         print(f"commit at {delay / 1000:g} ms: median {statistics.median(waits_us) / 1000:.1f} ms, "
               f"99th {quantile_ms(waits_us, 0.99):.1f} ms of {len(waits_us)}")  # fmt: skip
--- a/honeybarrow/cli/soak.py
+++ b/honeybarrow/cli/soak.py
@@ -122,13 +122,13 @@
     """Print the fewest faults found that still break the first violated rule."""
     rule, run_count = result.violations[0].rule, 0
 
-    def play_faults(faults: Sequence[Fault]) -> frozenset[SoakRule]:
+    def find_violated_rules(faults: Sequence[Fault]) -> frozenset[SoakRule]:
         nonlocal run_count
         run_count += 1
         shrunk_result = run_soak(spec, folder / f"shrink-{run_count}", library, faults, source)
         return frozenset(violation.rule for violation in shrunk_result.violations)
 
-    remaining = shrink_faults(result.faults, rule, play_faults)
+    remaining = shrink_faults(result.faults, rule, find_violated_rules)
     click.echo(
         f"  {rule} is still broken with {len(remaining)} of {len(result.faults)} faults,"
         f" after {run_count} runs:"
--- a/honeybarrow/fleet/endpoint_filter.py
+++ b/honeybarrow/fleet/endpoint_filter.py
@@ -83,7 +83,8 @@
         endpoints = [self.listed_endpoints[target] for target in targets]
         usages = {endpoint.target: get_usage(endpoint.zone, destination) for endpoint in endpoints}
         ready = [endpoint for endpoint in endpoints if endpoint.state is READY]
-        # The policy prefers endpoints that it used before, so during a probe only the probed zone's are ready.
+        # The policy prefers endpoints that it used before, so during a probe only those of the probed zone
+        # are ready.
         is_probing = any(usages[endpoint.target] is ZoneUsage.PROBED for endpoint in ready)
         wanted_usage = ZoneUsage.PROBED if is_probing else ZoneUsage.USED
         avoided = {target: usage is not wanted_usage for target, usage in usages.items()}
--- a/honeybarrow/lab/consensus_cluster.py
+++ b/honeybarrow/lab/consensus_cluster.py
@@ -36,7 +36,10 @@
 
 
 class FaultKind(enum.Enum):
-    """Kinds of faults. :func:`draw_plan` indexes them in this order, so the order affects seeded runs."""
+    """Kinds of faults.
+
+    :func:`draw_parameters` indexes them in this order, so the order affects seeded runs.
+    """
 
     KILL = "kill"
     PAUSE = "pause"
@@ -131,8 +134,10 @@
     ``node_type`` is the node class that members run; tests pass faulty subclasses.
     """
 
-    def __init__(self, plan: ClusterParameters, seed: int, node_type: type[RaftNode] = RaftNode) -> None:
-        self.plan, self.node_type = plan, node_type
+    def __init__(
+        self, parameters: ClusterParameters, seed: int, node_type: type[RaftNode] = RaftNode
+    ) -> None:
+        self.parameters, self.node_type = parameters, node_type
         self.rng = random.Random(f"agreeing/{seed}")  # changing this text changes all seeded runs
         self.now_us, self.sequence_number = SECOND_US, 0
         self.queue: list[tuple[int, int, Callable[[], None]]] = []
@@ -140,8 +145,8 @@
         self.cut_until_us: dict[tuple[str, str], int] = {}
         self.slow_until_us: dict[str, int] = {}
         self.pending_proposals: dict[tuple[str, int], tuple[str, int]] = {}  # by member and index
-        names = [f"v{n}" for n in range(plan.voters)] + [f"l{n}" for n in range(plan.learners)]
-        voters = tuple(Voter(f"v{n}", 1) for n in range(plan.voters))
+        names = [f"v{n}" for n in range(parameters.voters)] + [f"l{n}" for n in range(parameters.learners)]
+        voters = tuple(Voter(f"v{n}", 1) for n in range(parameters.voters))
         self.members: dict[str, _Member] = {}
         for name in names:
             first_entry = LogEntry(1, VoterConfiguration("fleet", voters))
@@ -151,11 +156,13 @@
             self._schedule_timer(member)
 
     def run(self) -> ClusterHistory:
-        """Run the plan, then a fault-free period in which members catch up, and return the history."""
-        for fault in self.plan.faults:
+        """Run the cluster, then a fault-free period in which members catch up, and return the history."""
+        for fault in self.parameters.faults:
             self.schedule(fault.start_us, lambda f=fault: self.start_fault(f))  # type: ignore[misc]
-        end_us = SECOND_US + self.plan.duration_us
-        self.schedule(self.now_us + self.plan.proposal_interval_us, lambda: self._propose_random(end_us))
+        end_us = SECOND_US + self.parameters.duration_us
+        self.schedule(
+            self.now_us + self.parameters.proposal_interval_us, lambda: self._propose_random(end_us)
+        )
         self.schedule(self.now_us + SECOND_US, lambda: self._readmit_voters(end_us + 4 * SECOND_US))
         for member in self.members.values():
             self.schedule(
@@ -178,7 +185,9 @@
             1 << INCARNATION_NONCE_BITS
         )
         rng = random.Random(self.rng.random())
-        return self.node_type(name, disk_id, incarnation, rng, self.plan.config, state.copy(), self.now_us)
+        return self.node_type(
+            name, disk_id, incarnation, rng, self.parameters.config, state.copy(), self.now_us
+        )
 
     # actions of a node
 
@@ -190,7 +199,10 @@
             member.is_running = False
             return
         node = member.node
-        if node.last_applied - node.log.snapshot.last_included_index > self.plan.config.max_retained_entries:
+        if (
+            node.last_applied - node.log.snapshot.last_included_index
+            > self.parameters.config.max_retained_entries
+        ):
             self._perform_actions(member, node.compact(node.last_applied, b"state"))
         self._schedule_timer(member)
 
@@ -215,7 +227,7 @@
 
     def _persist(self, member: _Member, update: PersistState) -> None:
         # The disk persists updates one at a time, in order.
-        sync_us = self.rng.randint(*self.plan.sync_range_us)
+        sync_us = self.rng.randint(*self.parameters.sync_range_us)
         member.disk_busy_until_us = max(member.disk_busy_until_us, self.now_us) + sync_us
         process_number = member.process_number
         self.schedule(member.disk_busy_until_us, lambda: self._on_persisted(member, update, process_number))
@@ -268,10 +280,10 @@
 
     def _send(self, sender: str, recipient: str, message: Message) -> None:
         self.history.message_count += 1
-        for _ in range(1 + (self.rng.random() < self.plan.duplicate_rate)):
-            if self.rng.random() < self.plan.loss_rate:
+        for _ in range(1 + (self.rng.random() < self.parameters.duplicate_rate)):
+            if self.rng.random() < self.parameters.loss_rate:
                 continue
-            delay_us = self.rng.randint(*self.plan.delay_range_us)
+            delay_us = self.rng.randint(*self.parameters.delay_range_us)
             if any(self.slow_until_us.get(name, 0) > self.now_us for name in (sender, recipient)):
                 delay_us *= SLOW_DELAY_FACTOR
             self.schedule(self.now_us + delay_us, lambda: self._deliver(sender, recipient, message))
@@ -310,7 +322,7 @@
                 continue
             self._propose_to(leader, Command(f"p{number}", b""))
         if self.now_us < end_us:
-            next_us = self.now_us + self.plan.proposal_interval_us
+            next_us = self.now_us + self.parameters.proposal_interval_us
             self.schedule(next_us, lambda: self._propose_random(end_us))
 
     def _propose_to(self, member: _Member, body: Command | VoterConfiguration) -> None:
@@ -459,8 +471,11 @@
     return violations
 
 
-def draw_plan(seed: int, voters: int = 3, learners: int = 2) -> ClusterParameters:
-    """Draw a plan with random faults, losing at most one disk so that a majority of voters keeps the log."""
+def draw_parameters(seed: int, voters: int = 3, learners: int = 2) -> ClusterParameters:
+    """Draw parameters with random faults.
+
+    At most one disk is lost, so that a majority of voters keeps the log.
+    """
     rng = random.Random(f"agreeing day/{seed}")  # changing this text changes all seeded runs
     faults: list[Fault] = []
     start_us, disks_lost = 2 * SECOND_US, 0
--- a/honeybarrow/lab/gossip_cluster.py
+++ b/honeybarrow/lab/gossip_cluster.py
@@ -257,7 +257,10 @@
         return self.members.get(member.name) is member
 
     def _schedule_wake(
-        self, member: ClusterMember, component: Membership | ZoneCoordinator, carry_out: Callable[..., None]
+        self,
+        member: ClusterMember,
+        component: Membership | ZoneCoordinator,
+        perform_actions: Callable[..., None],
     ) -> None:
         due_us = component.due_us
 
@@ -267,8 +270,8 @@
             if member.paused_until_us > self.now_us:
                 self.schedule(member.paused_until_us - self.now_us, wake)
                 return
-            carry_out(member, component.wake(self.now_us))
-            self._schedule_wake(member, component, carry_out)
+            perform_actions(member, component.wake(self.now_us))
+            self._schedule_wake(member, component, perform_actions)
 
         if due_us < NEVER_US:
             self.schedule(due_us - self.now_us, wake)
--- a/tests/test_consensus_cluster.py
+++ b/tests/test_consensus_cluster.py
@@ -23,7 +23,7 @@
     ConsensusCluster,
     Fault,
     FaultKind,
-    draw_plan,
+    draw_parameters,
     find_violations,
 )
 
@@ -32,7 +32,7 @@
 def test_random_faults_violate_no_guarantee_of_the_log(voters: int, learners: int, first: int) -> None:
     acknowledged = readmitted = 0
     for seed in range(first, first + 12):
-        cluster = ConsensusCluster(draw_plan(seed, voters, learners), seed)
+        cluster = ConsensusCluster(draw_parameters(seed, voters, learners), seed)
         history = cluster.run()
         assert find_violations(cluster) == [], f"seed {seed}"
         acknowledged += len(history.acknowledged)
@@ -102,7 +102,7 @@
 )
 def test_each_mutant_violates_a_guarantee_in_some_run(node_type: type[RaftNode], runs: int) -> None:
     for seed in range(runs):
-        cluster = ConsensusCluster(draw_plan(seed), seed, node_type)
+        cluster = ConsensusCluster(draw_parameters(seed), seed, node_type)
         cluster.run()
         if find_violations(cluster):
             return
@@ -112,8 +112,8 @@
 def test_voter_that_receives_nothing_does_not_depose_the_leader() -> None:
     def count_elections(node_type: type[RaftNode]) -> int:
         """Return the number of elections while one voter can send but receives nothing, and afterwards."""
-        plan = ClusterParameters(loss_rate=0.0, learners=0, duration_us=12 * SECOND_US)
-        cluster = ConsensusCluster(plan, 7, node_type)
+        parameters = ClusterParameters(loss_rate=0.0, learners=0, duration_us=12 * SECOND_US)
+        cluster = ConsensusCluster(parameters, 7, node_type)
         for other in ("v1", "v2"):
             cluster.cut_until_us[other, "v0"] = 10 * SECOND_US
         cluster.run()
@@ -127,8 +127,8 @@
 def test_killed_leader_is_replaced_within_a_second_and_a_half() -> None:
     waits_us = []
     for seed in range(40):
-        plan = ClusterParameters(learners=0, loss_rate=0.0, duration_us=6 * SECOND_US)
-        cluster = ConsensusCluster(plan, seed)
+        parameters = ClusterParameters(learners=0, loss_rate=0.0, duration_us=6 * SECOND_US)
+        cluster = ConsensusCluster(parameters, seed)
         killed_us: list[int] = []
 
         def kill(cluster: ConsensusCluster = cluster, killed_us: list[int] = killed_us) -> None:
--- a/tests/test_golden_consensus.py
+++ b/tests/test_golden_consensus.py
@@ -65,7 +65,7 @@
     ConsensusCluster,
     Fault,
     FaultKind,
-    draw_plan,
+    draw_parameters,
     find_violations,
 )
 from tests.consensus_model import ConsensusModel
@@ -218,9 +218,9 @@
 class TracedCluster(ConsensusCluster):
     """A simulated cluster that computes a digest of all actions with their member and time."""
 
-    def __init__(self, plan: ClusterParameters, seed: int) -> None:
+    def __init__(self, parameters: ClusterParameters, seed: int) -> None:
         self.digest, self.actions = hashlib.sha256(), 0
-        super().__init__(plan, seed)
+        super().__init__(parameters, seed)
 
     def _perform_actions(self, member: Any, actions: list[Action]) -> None:
         for action in actions:
@@ -231,8 +231,8 @@
 
 
 SIMULATIONS = {
-    **{f"drawn {seed}, 3 voters, 2 learners": (draw_plan(seed, 3, 2), seed) for seed in range(4)},
-    **{f"drawn {seed}, 5 voters, 3 learners": (draw_plan(seed, 5, 3), seed) for seed in (1000, 1001)},
+    **{f"drawn {seed}, 3 voters, 2 learners": (draw_parameters(seed, 3, 2), seed) for seed in range(4)},
+    **{f"drawn {seed}, 5 voters, 3 learners": (draw_parameters(seed, 5, 3), seed) for seed in (1000, 1001)},
     "a disk lost, slow links": (
         ClusterParameters(
             loss_rate=0.1,
