--- a/honeybarrow/admission/duplicate_detection.py
+++ b/honeybarrow/admission/duplicate_detection.py
@@ -31,7 +31,7 @@
 MAX_EVICTIONS_PER_CHECK = 8
 
 
-class MessageState(enum.Enum):
+class SubmissionState(enum.Enum):
     """The state of a submitted message."""
 
     OPEN = "open"
@@ -41,7 +41,7 @@
     AMBIGUOUS = "ambiguous"
 
 
-class MessageEvent(enum.Enum):
+class SubmissionEvent(enum.Enum):
     """An event in the life of an accepted message."""
 
     DELIVERED = "delivered"
@@ -57,17 +57,17 @@
 
 
 # Next state by state and event. An event without an entry arrived too late and is ignored.
-TRANSITIONS: dict[tuple[MessageState, MessageEvent], MessageState] = {
-    (MessageState.OPEN, MessageEvent.DELIVERED): MessageState.DELIVERED,
-    (MessageState.OPEN, MessageEvent.REFUSED): MessageState.NOT_RUN,
-    (MessageState.OPEN, MessageEvent.FAILED): MessageState.AMBIGUOUS,
-    (MessageState.OPEN, MessageEvent.REJECTED): MessageState.NOT_RUN,
-    (MessageState.OPEN, MessageEvent.WITHDRAWN): MessageState.NOT_RUN,
-    (MessageState.OPEN, MessageEvent.WITHDRAWN_IN_FLIGHT): MessageState.WITHDRAWN_IN_FLIGHT,
-    (MessageState.OPEN, MessageEvent.WITHDRAWN_AMBIGUOUS): MessageState.AMBIGUOUS,
-    (MessageState.WITHDRAWN_IN_FLIGHT, MessageEvent.DELIVERED): MessageState.DELIVERED,
-    (MessageState.WITHDRAWN_IN_FLIGHT, MessageEvent.ATTEMPT_NOT_RUN): MessageState.NOT_RUN,
-    (MessageState.WITHDRAWN_IN_FLIGHT, MessageEvent.ATTEMPT_AMBIGUOUS): MessageState.AMBIGUOUS,
+TRANSITIONS: dict[tuple[SubmissionState, SubmissionEvent], SubmissionState] = {
+    (SubmissionState.OPEN, SubmissionEvent.DELIVERED): SubmissionState.DELIVERED,
+    (SubmissionState.OPEN, SubmissionEvent.REFUSED): SubmissionState.NOT_RUN,
+    (SubmissionState.OPEN, SubmissionEvent.FAILED): SubmissionState.AMBIGUOUS,
+    (SubmissionState.OPEN, SubmissionEvent.REJECTED): SubmissionState.NOT_RUN,
+    (SubmissionState.OPEN, SubmissionEvent.WITHDRAWN): SubmissionState.NOT_RUN,
+    (SubmissionState.OPEN, SubmissionEvent.WITHDRAWN_IN_FLIGHT): SubmissionState.WITHDRAWN_IN_FLIGHT,
+    (SubmissionState.OPEN, SubmissionEvent.WITHDRAWN_AMBIGUOUS): SubmissionState.AMBIGUOUS,
+    (SubmissionState.WITHDRAWN_IN_FLIGHT, SubmissionEvent.DELIVERED): SubmissionState.DELIVERED,
+    (SubmissionState.WITHDRAWN_IN_FLIGHT, SubmissionEvent.ATTEMPT_NOT_RUN): SubmissionState.NOT_RUN,
+    (SubmissionState.WITHDRAWN_IN_FLIGHT, SubmissionEvent.ATTEMPT_AMBIGUOUS): SubmissionState.AMBIGUOUS,
 }
 
 
@@ -111,7 +111,7 @@
     idempotency: Idempotency
     window_us: int
     submitted_us: int
-    state: MessageState = MessageState.OPEN
+    state: SubmissionState = SubmissionState.OPEN
     changed_us: int = 0
     window_ends_us: int | None = None  # end of the key's window, if the policy reported it
 
@@ -141,15 +141,15 @@
             return AcceptAsNew()
         is_idempotent = first.idempotency is Idempotency.IDEMPOTENT
         match first.state:
-            case MessageState.OPEN:
+            case SubmissionState.OPEN:
                 return JoinMessage(first.message)
-            case MessageState.WITHDRAWN_IN_FLIGHT:
+            case SubmissionState.WITHDRAWN_IN_FLIGHT:
                 return AcceptAsNew() if is_idempotent else AwaitAttempt(first.message)
-            case MessageState.DELIVERED:
+            case SubmissionState.DELIVERED:
                 return RepeatResult(True)
-            case MessageState.NOT_RUN:
+            case SubmissionState.NOT_RUN:
                 return AcceptAsNew()
-            case MessageState.AMBIGUOUS:
+            case SubmissionState.AMBIGUOUS:
                 return AcceptAsNew() if is_idempotent else self._decide_ambiguous(now, first)
 
     def _decide_ambiguous(self, now: int, first: _FirstSubmission) -> DuplicateDecision:
@@ -173,7 +173,7 @@
         self._key_by_message[message] = key
 
     def record_event(
-        self, now: int, message: str, event: MessageEvent, retry_within_us: int | None = None
+        self, now: int, message: str, event: SubmissionEvent, retry_within_us: int | None = None
     ) -> None:
         """Update the state of a message after an event.
 
@@ -199,7 +199,7 @@
             key, first = next(iter(self._by_key.items()))
             if len(self._by_key) <= self.max_entries and first.changed_us > now - self.max_age_us:
                 return
-            if first.state in (MessageState.OPEN, MessageState.WITHDRAWN_IN_FLIGHT):
+            if first.state in (SubmissionState.OPEN, SubmissionState.WITHDRAWN_IN_FLIGHT):
                 # Entries in use are kept; their number is bounded by admission control.
                 first.changed_us = now
                 self._by_key.move_to_end(key)
--- a/honeybarrow/fleet/replication.py
+++ b/honeybarrow/fleet/replication.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReplicatedLog:
+class LogDescription:
     """Description of a log: its primary, the primary's incarnation, its replicas and the ack quorum.
 
     A replica that lost its disk has lost acknowledged records and accepted fences; if it still counted as the
@@ -91,7 +91,7 @@
 class AppendRecords:
     """Request to store records from ``first_index`` on; those below ``low_water_mark`` may be deleted."""
 
-    log: ReplicatedLog
+    log: LogDescription
     term: int
     first_index: int
     records: tuple[bytes, ...]
@@ -124,7 +124,7 @@
 class FenceRequest:
     """Request to reject all requests of lower terms and to reply with the stored records."""
 
-    log: ReplicatedLog
+    log: LogDescription
     term: int
 
 
@@ -175,17 +175,17 @@
 class Primary:
     """Writer of a log, which appends records and tracks which are committed; successors use it in their term.
 
-    ``max_unacked_records`` limits the records that are not yet stored by a quorum.
+    ``append`` raises once ``max_uncommitted_records`` records are not yet stored by a quorum.
     """
 
     def __init__(
         self,
-        log: ReplicatedLog,
+        log: LogDescription,
         term: int = 0,
         low_water_mark: int = 0,
-        max_unacked_records: int = 1000,
+        max_uncommitted_records: int = 1000,
     ) -> None:
-        self.log, self.term, self.max_unacked_records = log, term, max_unacked_records
+        self.log, self.term, self.max_uncommitted_records = log, term, max_uncommitted_records
         self.state = PrimaryState.OPEN
         self.low_water_mark = low_water_mark  # records below this index are completed
         self.committed_end_index = low_water_mark  # records below this index are stored by a quorum
@@ -195,9 +195,9 @@
 
     @property
     def can_append(self) -> bool:
-        """Whether the log is open and fewer than ``max_unacked_records`` records are uncommitted."""
+        """Whether the log is open and fewer than ``max_uncommitted_records`` records are uncommitted."""
         uncommitted = self.end_index - self.committed_end_index
-        return self.state is PrimaryState.OPEN and uncommitted < self.max_unacked_records
+        return self.state is PrimaryState.OPEN and uncommitted < self.max_uncommitted_records
 
     def append(self, records: Iterable[bytes]) -> list[SendMessage]:
         """Append records. Raises ``RuntimeError`` unless :attr:`can_append`."""
@@ -286,7 +286,7 @@
 class _StoredLog:
     """State of one log on a replica."""
 
-    log: ReplicatedLog
+    log: LogDescription
     min_term: int = 0  # requests of a lower term are rejected
     last_append_term: int = 0
     low_water_mark: int = 0
@@ -383,7 +383,7 @@
         del stored.records[:count]
         stored.low_water_mark += count
 
-    def _stored_log(self, log: ReplicatedLog) -> _StoredLog:
+    def _stored_log(self, log: LogDescription) -> _StoredLog:
         return self.stored_logs.setdefault(log.log_id, _StoredLog(log))
 
 
@@ -397,18 +397,18 @@
     1, as the primary writes in term 0.
     """
 
-    def __init__(self, log: ReplicatedLog, term: int) -> None:
+    def __init__(self, log: LogDescription, term: int) -> None:
         if term < 1:
             raise InvalidValueError("term must be at least 1, as term 0 belongs to the primary")
         self.log, self.term = log, term
         self.is_superseded = False  # another successor has a higher term
-        self.primary: Primary | None = None
+        self.writer: Primary | None = None
         self._fence_replies: dict[str, FenceReply] = {}
 
     def send_requests(self) -> list[SendMessage]:
         """Send fence requests to replicas that have not replied, or resend records; call until complete."""
-        if self.primary is not None:
-            return self.primary.resend_unacked()
+        if self.writer is not None:
+            return self.writer.resend_unacked()
         missing = [name for name in self.log.replica_names if name not in self._fence_replies]
         if self.is_superseded:
             return []
@@ -418,9 +418,9 @@
         """Apply a replica's reply and return the messages to send."""
         if self.is_superseded or sender not in self.log.replica_names:
             return []
-        if self.primary is not None:
-            self.primary.handle_reply(sender, message)
-            self.is_superseded = self.primary.state is PrimaryState.FENCED
+        if self.writer is not None:
+            self.writer.handle_reply(sender, message)
+            self.is_superseded = self.writer.state is PrimaryState.FENCED
             return []
         match message:
             case RequestRejected(log_id, term) if log_id == self.log.log_id and term > self.term:
@@ -436,15 +436,15 @@
     def is_complete(self) -> bool:
         """Whether a quorum has stored all records that were read, in this term."""
         return (
-            self.primary is not None
+            self.writer is not None
             and not self.is_superseded
-            and self.primary.committed_end_index == self.primary.end_index
+            and self.writer.committed_end_index == self.writer.end_index
         )
 
     @property
     def records(self) -> Mapping[int, bytes]:
         """Records that were read, by index."""
-        return self.primary.records if self.primary is not None else {}
+        return self.writer.records if self.writer is not None else {}
 
     def _recover_records(self) -> list[SendMessage]:
         # The records of the last writer take precedence over a longer tail of an earlier one: the last
@@ -454,5 +454,5 @@
             (reply for reply in self._fence_replies.values() if reply.last_append_term == last_term),
             key=lambda reply: reply.low_water_mark + len(reply.records),
         )
-        self.primary = Primary(self.log, self.term, longest.low_water_mark, max_unacked_records=1 << 62)
-        return self.primary.append(longest.records)
+        self.writer = Primary(self.log, self.term, longest.low_water_mark, max_uncommitted_records=1 << 62)
+        return self.writer.append(longest.records)
--- a/honeybarrow/mail_front/submission.py
+++ b/honeybarrow/mail_front/submission.py
@@ -17,8 +17,8 @@
     AwaitAttempt,
     DuplicateDetector,
     JoinMessage,
-    MessageEvent,
     RepeatResult,
+    SubmissionEvent,
 )
 from honeybarrow.delivery import (
     AttemptOutcome,
@@ -175,13 +175,13 @@
         self.admission.release_message(now, message)
         match result:
             case Delivered():
-                self.duplicates.record_event(now, message, MessageEvent.DELIVERED)
+                self.duplicates.record_event(now, message, SubmissionEvent.DELIVERED)
             case Refused():
-                self.duplicates.record_event(now, message, MessageEvent.REFUSED)
+                self.duplicates.record_event(now, message, SubmissionEvent.REFUSED)
             case Failed(_, None, within_us):
-                self.duplicates.record_event(now, message, MessageEvent.FAILED, within_us)
+                self.duplicates.record_event(now, message, SubmissionEvent.FAILED, within_us)
             case Failed():
-                self.duplicates.record_event(now, message, MessageEvent.REJECTED)
+                self.duplicates.record_event(now, message, SubmissionEvent.REJECTED)
         for waiter in self._open_messages.pop(message).waiters:
             if not waiter.result.called:
                 waiter.result.callback(result)
@@ -205,20 +205,20 @@
         if self._open_messages.pop(message, None) is None:
             return
         self.admission.release_message(now, message)
-        event = MessageEvent.WITHDRAWN
+        event = SubmissionEvent.WITHDRAWN
         if attempts_in_flight:
-            event = MessageEvent.WITHDRAWN_IN_FLIGHT
+            event = SubmissionEvent.WITHDRAWN_IN_FLIGHT
         elif is_ambiguous:
-            event = MessageEvent.WITHDRAWN_AMBIGUOUS
+            event = SubmissionEvent.WITHDRAWN_AMBIGUOUS
         self.duplicates.record_event(now, message, event)
 
     def _on_last_attempt_finished(self, message: str, outcome: AttemptOutcome, is_ambiguous: bool) -> None:
         """Record the end of the last attempt of a withdrawn message, and recheck its deferred duplicates."""
         now = self.now_us()
         if outcome.status is AttemptStatus.OK:
-            self.duplicates.record_event(now, message, MessageEvent.DELIVERED)
+            self.duplicates.record_event(now, message, SubmissionEvent.DELIVERED)
         else:
-            event = MessageEvent.ATTEMPT_AMBIGUOUS if is_ambiguous else MessageEvent.ATTEMPT_NOT_RUN
+            event = SubmissionEvent.ATTEMPT_AMBIGUOUS if is_ambiguous else SubmissionEvent.ATTEMPT_NOT_RUN
             self.duplicates.record_event(now, message, event)
         for check_again in self._deferred_duplicates.pop(message, []):
             check_again()
--- a/tests/test_duplicate_detection.py
+++ b/tests/test_duplicate_detection.py
@@ -12,49 +12,49 @@
     AwaitAttempt,
     DuplicateDetector,
     JoinMessage,
-    MessageEvent,
-    MessageState,
     RepeatResult,
+    SubmissionEvent,
+    SubmissionState,
 )
 from honeybarrow.admission.fair_share import SECOND_US
 from honeybarrow.settings import Idempotency
 
 WINDOW_US = 5 * SECOND_US
 # Events of the first submission, and the decision by idempotency: idempotent, with key, non-idempotent.
-ROWS: list[tuple[tuple[MessageEvent, ...], Any, Any, Any]] = [
+ROWS: list[tuple[tuple[SubmissionEvent, ...], Any, Any, Any]] = [
     ((), JoinMessage("m"), JoinMessage("m"), JoinMessage("m")),
-    ((MessageEvent.WITHDRAWN,), AcceptAsNew(), AcceptAsNew(), AcceptAsNew()),
-    ((MessageEvent.WITHDRAWN_IN_FLIGHT,), AcceptAsNew(), AwaitAttempt("m"), AwaitAttempt("m")),
+    ((SubmissionEvent.WITHDRAWN,), AcceptAsNew(), AcceptAsNew(), AcceptAsNew()),
+    ((SubmissionEvent.WITHDRAWN_IN_FLIGHT,), AcceptAsNew(), AwaitAttempt("m"), AwaitAttempt("m")),
     (
-        (MessageEvent.WITHDRAWN_IN_FLIGHT, MessageEvent.DELIVERED),
+        (SubmissionEvent.WITHDRAWN_IN_FLIGHT, SubmissionEvent.DELIVERED),
         RepeatResult(True),
         RepeatResult(True),
         RepeatResult(True),
     ),
     (
-        (MessageEvent.WITHDRAWN_IN_FLIGHT, MessageEvent.ATTEMPT_NOT_RUN),
+        (SubmissionEvent.WITHDRAWN_IN_FLIGHT, SubmissionEvent.ATTEMPT_NOT_RUN),
         AcceptAsNew(),
         AcceptAsNew(),
         AcceptAsNew(),
     ),
     (
-        (MessageEvent.WITHDRAWN_IN_FLIGHT, MessageEvent.ATTEMPT_AMBIGUOUS),
+        (SubmissionEvent.WITHDRAWN_IN_FLIGHT, SubmissionEvent.ATTEMPT_AMBIGUOUS),
         AcceptAsNew(),
         AcceptAsNew(WINDOW_US - SECOND_US),
         RepeatResult(False),
     ),
     (
-        (MessageEvent.WITHDRAWN_AMBIGUOUS,),
+        (SubmissionEvent.WITHDRAWN_AMBIGUOUS,),
         AcceptAsNew(),
         AcceptAsNew(WINDOW_US - SECOND_US),
         RepeatResult(False),
     ),
-    ((MessageEvent.DELIVERED,), RepeatResult(True), RepeatResult(True), RepeatResult(True)),
-    ((MessageEvent.REFUSED,), AcceptAsNew(), AcceptAsNew(), AcceptAsNew()),
-    ((MessageEvent.REJECTED,), AcceptAsNew(), AcceptAsNew(), AcceptAsNew()),
-    ((MessageEvent.FAILED,), AcceptAsNew(), AcceptAsNew(WINDOW_US - SECOND_US), RepeatResult(False)),
+    ((SubmissionEvent.DELIVERED,), RepeatResult(True), RepeatResult(True), RepeatResult(True)),
+    ((SubmissionEvent.REFUSED,), AcceptAsNew(), AcceptAsNew(), AcceptAsNew()),
+    ((SubmissionEvent.REJECTED,), AcceptAsNew(), AcceptAsNew(), AcceptAsNew()),
+    ((SubmissionEvent.FAILED,), AcceptAsNew(), AcceptAsNew(WINDOW_US - SECOND_US), RepeatResult(False)),
     (
-        (MessageEvent.DELIVERED, MessageEvent.FAILED),
+        (SubmissionEvent.DELIVERED, SubmissionEvent.FAILED),
         RepeatResult(True),
         RepeatResult(True),
         RepeatResult(True),
@@ -84,13 +84,13 @@
 def test_message_with_key_is_new_after_its_window() -> None:
     detector = DuplicateDetector()
     detector.record_accepted(0, "k", "m", Idempotency.IDEMPOTENT_WITH_KEY, WINDOW_US)
-    detector.record_event(SECOND_US, "m", MessageEvent.FAILED, retry_within_us=2 * SECOND_US)
+    detector.record_event(SECOND_US, "m", SubmissionEvent.FAILED, retry_within_us=2 * SECOND_US)
     assert detector.check_submission(2 * SECOND_US, "k") == AcceptAsNew(SECOND_US)
     assert detector.check_submission(3 * SECOND_US, "k") == AcceptAsNew()
     detector.record_accepted(3 * SECOND_US, "k", "m2", Idempotency.IDEMPOTENT_WITH_KEY, WINDOW_US)
     assert detector.check_submission(3 * SECOND_US, "k") == JoinMessage("m2")
     # A late event of the first message does not affect the second one.
-    detector.record_event(4 * SECOND_US, "m", MessageEvent.DELIVERED)
+    detector.record_event(4 * SECOND_US, "m", SubmissionEvent.DELIVERED)
     assert detector.check_submission(4 * SECOND_US, "k") == JoinMessage("m2")
 
 
@@ -101,7 +101,7 @@
         detector.check_submission(number, key)
         detector.record_accepted(number, key, f"m{number}", Idempotency.NON_IDEMPOTENT, 0)
         if number % 50:
-            detector.record_event(number, f"m{number}", MessageEvent.FAILED)
+            detector.record_event(number, f"m{number}", SubmissionEvent.FAILED)
     assert len(detector) <= 102
     assert detector.check_submission(1000, "k950") == JoinMessage("m950")  # open messages are kept
     assert detector.check_submission(1000, "k999") == RepeatResult(False)
@@ -113,8 +113,8 @@
 
 def test_states_change_only_by_the_transition_table() -> None:
     events = {event for _, event in TRANSITIONS}
-    assert events == set(MessageEvent)
-    for state in MessageState:
+    assert events == set(SubmissionEvent)
+    for state in SubmissionState:
         for event in events:
             detector = DuplicateDetector()
             detector.record_accepted(0, "k", "m", Idempotency.NON_IDEMPOTENT, 0)
--- a/tests/test_golden_lab.py
+++ b/tests/test_golden_lab.py
@@ -179,7 +179,8 @@
             "digest": hash_json(sent),
             "promised": {str(number): to_json_values(record) for number, record in model.committed.items()},
             "acted": [
-                [term, [[n, to_json_values(r)] for n, r in records.items()]] for term, records in model.acted
+                [term, [[n, to_json_values(r)] for n, r in records.items()]]
+                for term, records in model.records_of_complete_failovers
             ],
             "state": model.primary.state.value,
             "short": model.primary.find_lagging_replicas(),
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -19,6 +19,7 @@
     Failover,
     FenceReply,
     FenceRequest,
+    LogDescription,
     LogId,
     Message,
     Primary,
@@ -26,14 +27,13 @@
     Replica,
     ReplicaId,
     ReplicaLimits,
-    ReplicatedLog,
     RequestRejected,
     SendMessage,
 )
 
 
-def make_log(replicas: Iterable[str] = "xyz", ack_quorum: int = 2, primary: str = "o") -> ReplicatedLog:
-    return ReplicatedLog(primary, 1, tuple(ReplicaId(name, 1) for name in replicas), ack_quorum)
+def make_log(replicas: Iterable[str] = "xyz", ack_quorum: int = 2, primary: str = "o") -> LogDescription:
+    return LogDescription(primary, 1, tuple(ReplicaId(name, 1) for name in replicas), ack_quorum)
 
 
 LOG = make_log()
@@ -150,7 +150,7 @@
     failover = Failover(LOG, 1)
     for name, incarnation in (("x", 2), ("y", 1)):
         assert failover.handle_reply(name, FenceReply(LOG_ID, 1, 0, (), 0, incarnation)) == []
-    assert failover.primary is None
+    assert failover.writer is None
 
 
 def test_replica_stores_in_order_and_acknowledges_its_end_index() -> None:
@@ -197,7 +197,7 @@
 
 
 def test_uncommitted_records_are_bounded() -> None:
-    primary = Primary(LOG, max_unacked_records=2)
+    primary = Primary(LOG, max_uncommitted_records=2)
     primary.append([b"1", b"2"])
     assert not primary.can_append
     with pytest.raises(RuntimeError, match="2 records"):
@@ -241,12 +241,12 @@
                 if send.recipient in "xy":  # z receives nothing
                     (ack,) = replicas[send.recipient].handle_request("h", send.message)
                     first.handle_reply(send.recipient, ack.message)
-    assert first.is_complete and first.primary is not None
-    for send in first.primary.append([b"by the successor"]):
+    assert first.is_complete and first.writer is not None
+    for send in first.writer.append([b"by the successor"]):
         if send.recipient in "xy":
             (ack,) = replicas[send.recipient].handle_request("h", send.message)
             first.handle_reply(send.recipient, ack.message)
-    assert first.primary.committed_end_index == 2
+    assert first.writer.committed_end_index == 2
     second = Failover(LOG, 2)
     for name in "zx":
         for answer in replicas[name].handle_request("i", FenceRequest(LOG, 2)):
@@ -263,28 +263,32 @@
     def __init__(self, seed: int, replicas: int, ack_quorum: int) -> None:
         self.rng = random.Random(seed)
         names = tuple(f"h{n}" for n in range(replicas))
-        self.log = ReplicatedLog("o", 1, tuple(ReplicaId(name, 1) for name in names), ack_quorum)
+        self.log = LogDescription("o", 1, tuple(ReplicaId(name, 1) for name in names), ack_quorum)
         self.replicas = {name: Replica(name, 1) for name in names}
         self.primary = Primary(self.log)
         self.failovers: list[Failover] = []
-        self.waiting: list[tuple[str, str, Message]] = []  # sender, recipient, message
+        self.messages_in_transit: list[tuple[str, str, Message]] = []  # sender, recipient, message
         self.committed: dict[int, bytes] = {}
         # records committed by successors, by term and index
         self.committed_by_successors: dict[tuple[int, int], bytes] = {}
-        self.acted: list[tuple[int, dict[int, bytes]]] = []  # term and records of complete failovers
-        self.read: dict[int, int] = {}
+        self.records_of_complete_failovers: list[
+            tuple[int, dict[int, bytes]]
+        ] = []  # term and records of complete failovers
+        self.recovered_record_counts: dict[int, int] = {}
         self.disks_to_lose = replicas - ack_quorum
-        self.count = 0
+        self.append_count = 0
 
     def send(self, sender: str, sends: list[SendMessage]) -> None:
         for each in sends:
-            self.waiting += [(sender, each.recipient, each.message)] * (1 + (self.rng.random() < 0.1))
+            self.messages_in_transit += [(sender, each.recipient, each.message)] * (
+                1 + (self.rng.random() < 0.1)
+            )
 
     def step(self) -> None:
         chance = self.rng.random()
         if chance < 0.15 and self.primary.can_append:
-            self.count += 1
-            self.send("o", self.primary.append([f"r{self.count}".encode()]))
+            self.append_count += 1
+            self.send("o", self.primary.append([f"r{self.append_count}".encode()]))
         elif chance < 0.2:
             self.send("o", self.primary.resend_unacked())
         elif chance < 0.22 and len(self.failovers) < 3:
@@ -294,19 +298,17 @@
             which = self.rng.randrange(len(self.failovers))
             self.send(f"{SUCCESSOR}{which}", self.failovers[which].send_requests())
         elif chance < 0.3 and (
-            acting := [h for h in self.failovers if h.is_complete and h.primary and h.primary.can_append]
+            acting := [h for h in self.failovers if h.is_complete and h.writer and h.writer.can_append]
         ):
-            primary = self.rng.choice(acting).primary
-            assert primary is not None
-            self.send(
-                f"{SUCCESSOR}{primary.term - 1}", primary.append([f"{SUCCESSOR} {primary.term}".encode()])
-            )
+            writer = self.rng.choice(acting).writer
+            assert writer is not None
+            self.send(f"{SUCCESSOR}{writer.term - 1}", writer.append([f"{SUCCESSOR} {writer.term}".encode()]))
         elif chance < 0.305 and self.disks_to_lose:
             self.disks_to_lose -= 1
             name = self.rng.choice([name for name, each in self.replicas.items() if each.incarnation == 1])
             self.replicas[name] = Replica(name, self.replicas[name].incarnation + 1)
-        elif self.waiting:
-            self.deliver(*self.waiting.pop(self.rng.randrange(len(self.waiting))))
+        elif self.messages_in_transit:
+            self.deliver(*self.messages_in_transit.pop(self.rng.randrange(len(self.messages_in_transit))))
         self.record_progress()
 
     def deliver(self, sender: str, recipient: str, message: Message) -> None:
@@ -322,14 +324,14 @@
 
     def find_violation(self) -> str:
         """Return a description of a lost committed record, or an empty string."""
-        for term, records in self.acted:
+        for term, records in self.records_of_complete_failovers:
             for number, record in self.committed.items():
                 if records.get(number) != record:
                     return f"the successor of term {term} lacks record {number}"
             for (early_term, number), record in self.committed_by_successors.items():
                 if early_term < term and records.get(number) != record:
                     return f"the successor of term {term} lacks record {number} of that of term {early_term}"
-        for (early, had), (late, has) in pairwise(self.acted):
+        for (early, had), (late, has) in pairwise(self.records_of_complete_failovers):
             first, second = (had, has) if early < late else (has, had)
             if any(second.get(number) != record for number, record in first.items()):
                 return (
@@ -341,12 +343,16 @@
         for number in range(len(self.committed), self.primary.committed_end_index):
             self.committed[number] = self.primary.records[number]
         for failover in self.failovers:
-            if failover.is_complete and failover.term not in [term for term, _ in self.acted]:
-                self.acted.append((failover.term, dict(failover.records)))
-                self.read[failover.term] = len(failover.records)
-            if failover.primary is not None and failover.term in self.read:
-                for number in range(self.read[failover.term], failover.primary.committed_end_index):
-                    self.committed_by_successors[failover.term, number] = failover.primary.records[number]
+            if failover.is_complete and failover.term not in [
+                term for term, _ in self.records_of_complete_failovers
+            ]:
+                self.records_of_complete_failovers.append((failover.term, dict(failover.records)))
+                self.recovered_record_counts[failover.term] = len(failover.records)
+            if failover.writer is not None and failover.term in self.recovered_record_counts:
+                for number in range(
+                    self.recovered_record_counts[failover.term], failover.writer.committed_end_index
+                ):
+                    self.committed_by_successors[failover.term, number] = failover.writer.records[number]
 
 
 @settings(max_examples=150, deadline=None)
@@ -367,7 +373,7 @@
         for _ in range(400):
             model.step()
     assert sum(len(model.committed) > 3 for model in models) > 15
-    assert sum(len(model.acted) > 0 for model in models) > 15
+    assert sum(len(model.records_of_complete_failovers) > 0 for model in models) > 15
     assert sum(model.primary.state is PrimaryState.FENCED for model in models) > 20
 
 
@@ -382,7 +388,7 @@
 HANDLE_REQUEST = Replica.handle_request
 MUTANTS: dict[str, tuple[Any, str, Any]] = {
     "recovery quorum is one too small": (
-        ReplicatedLog,
+        LogDescription,
         "recovery_quorum",
         property(lambda self: len(self.replicas) - self.ack_quorum),
     ),
@@ -390,9 +396,13 @@
     "successor acts on records before storing them": (
         Failover,
         "is_complete",
-        property(lambda self: self.primary is not None),
+        property(lambda self: self.writer is not None),
+    ),
+    "replica identity ignores its disk": (
+        LogDescription,
+        "includes",
+        lambda self, replica, incarnation: True,
     ),
-    "replica identity ignores its disk": (ReplicatedLog, "includes", lambda self, replica, incarnation: True),
 }
 
 
