--- a/benchmarks/addresses.py
+++ b/benchmarks/addresses.py
@@ -30,7 +30,7 @@
 from honeybarrow import mail
 from honeybarrow.addressing.address import Address
 from honeybarrow.addressing.address_health import AddressHealth, RankedAddress
-from honeybarrow.delivery import Delivered, Forwarder, MailConnectionPool, MailPayload, PoolConfig, Submission
+from honeybarrow.delivery import Delivered, Forwarder, MailConnectionPool, MailPayload, PoolLimits, Submission
 from honeybarrow.events import AttemptStatus, Endpoint, EndpointState, MembershipUpdate, UpdateKind
 from honeybarrow.gc_tuning import reduce_gc_frequency
 from honeybarrow.mail import Reply
@@ -255,7 +255,7 @@
         raise error
 
     pool = MailConnectionPool(
-        reactor, reactor, "bench.example", PoolConfig(2, 1.0, args.idle), on_connect_started, health
+        reactor, reactor, "bench.example", PoolLimits(2, 1.0, args.idle), on_connect_started, health
     )
     addresses_by_target = {
         f"t{number}": [Address(host, port, False, path) for host, port, path in row]
--- a/benchmarks/ordinary_path.py
+++ b/benchmarks/ordinary_path.py
@@ -23,7 +23,7 @@
 from honeybarrow import config, mail
 from honeybarrow.addressing.address import Address
 from honeybarrow.config.schema import ForwarderConfig as Settings
-from honeybarrow.delivery import MailConnectionPool, MailPayload, PoolConfig
+from honeybarrow.delivery import MailConnectionPool, MailPayload, PoolLimits
 from honeybarrow.events import AttemptStatus
 from honeybarrow.metrics import Metrics
 from honeybarrow.observer_fanout import ObserverFanout
@@ -154,7 +154,7 @@
 def serve(kind: str, destinations: int, sink: int) -> None:
     """Run a server and print its port. For each of two lines on standard input, print its CPU time."""
     if kind == "relay":
-        Relay.pool, Relay.port = MailConnectionPool(reactor, reactor, "bench.example", PoolConfig(64)), sink
+        Relay.pool, Relay.port = MailConnectionPool(reactor, reactor, "bench.example", PoolLimits(64)), sink
         port = reactor.listenTCP(0, make_factory(Relay), interface="127.0.0.1").getHost().port
     else:
         settings = config.find_one(config.evaluate_script("bench", SCRIPT), Settings, __file__)  # type: ignore[arg-type]
--- a/honeybarrow/addressing/address_health.py
+++ b/honeybarrow/addressing/address_health.py
@@ -3,7 +3,7 @@
 Performs no I/O and reads no clock; the caller passes the current time in microseconds.
 
 The policy chooses the endpoint. This module only orders the addresses of that endpoint within one attempt; it
-never delays or overrides a retry wait, a drain or a slow start. The connection race
+never delays or overrides a retry delay, a drain or a slow start. The connection race
 (``honeybarrow/addressing/connection_race.py``) applies the order.
 
 Sources: RFC 6724 sections 5 and 6 (the rules that apply to literal addresses), RFC 8305 sections 4
@@ -75,7 +75,7 @@
     backoff_until_us: int = 0
     updated_us: int = 0
     machine: str = ""  # machine name taken from a greeting
-    idle_limit_us: int = 0  # estimated idle timeout of the partner; 0 if unknown
+    idle_timeout_us: int = 0  # estimated idle timeout of the partner; 0 if unknown
 
 
 class AddressHealth:
@@ -223,22 +223,22 @@
     def compute_keep_alive_us(self, address: Address, max_us: int) -> int:
         """Return how long to keep an idle connection: less than its partner's observed idle timeout."""
         record = self._records.get(address.socket_key)
-        if record is None or not record.idle_limit_us:
+        if record is None or not record.idle_timeout_us:
             return max_us
-        return min(max_us, max(MIN_KEEP_ALIVE_US, int(record.idle_limit_us * KEEP_ALIVE_FRACTION)))
+        return min(max_us, max(MIN_KEEP_ALIVE_US, int(record.idle_timeout_us * KEEP_ALIVE_FRACTION)))
 
     def record_idle_close(self, now: int, address: Address, idle_us: int) -> None:
         """Record that the partner closed a connection that had been idle for ``idle_us``."""
         record = self._get_or_create(now, address.socket_key)
-        record.idle_limit_us = min(record.idle_limit_us or idle_us, max(1, idle_us))
+        record.idle_timeout_us = min(record.idle_timeout_us or idle_us, max(1, idle_us))
 
     def record_idle_survival(self, now: int, address: Address, idle_us: int) -> None:
         """Raise the idle timeout estimate if an idle connection stayed open for about its keep-alive time."""
         record = self._records.get(address.socket_key)
-        if record is None or not record.idle_limit_us:
+        if record is None or not record.idle_timeout_us:
             return
-        if idle_us >= record.idle_limit_us * KEEP_ALIVE_FRACTION * 0.99:
-            record.idle_limit_us = int(record.idle_limit_us * KEEP_ALIVE_GROWTH)
+        if idle_us >= record.idle_timeout_us * KEEP_ALIVE_FRACTION * 0.99:
+            record.idle_timeout_us = int(record.idle_timeout_us * KEEP_ALIVE_GROWTH)
 
     # Ranking.
 
--- a/honeybarrow/cli/fleet.py
+++ b/honeybarrow/cli/fleet.py
@@ -88,8 +88,8 @@
         override_us = parse_duration_us(duration)
     except ValueError as error:
         raise click.UsageError(f"--for: {error}") from None
-    out = None if override == "withdraw" else override == "out"
-    print_zones(query_forwarder(file, name, SetOverride(zone, out, override_us)), as_json)
+    eject = None if override == "withdraw" else override == "out"
+    print_zones(query_forwarder(file, name, SetOverride(zone, eject, override_us)), as_json)
 
 
 def print_zones(rows: list[dict[str, Any]], as_json: bool) -> None:
@@ -122,7 +122,7 @@
         settings = config.find_one(
             config.read_script(file, SCENARIO_WORDS), schema.ForwarderConfig, file, name
         )
-    except config.ConfigError as error:
+    except config.ScriptError as error:
         raise click.UsageError(format_error(error)) from None
     if settings.fleet is None:
         raise click.UsageError(f"{file}: forwarder {settings.name} has no fleet")
--- a/honeybarrow/cli/main.py
+++ b/honeybarrow/cli/main.py
@@ -220,9 +220,9 @@
     egress_policy = (
         EgressPolicy(
             settings.allowed_networks,
-            settings.forbidden_networks,
+            settings.denied_networks,
             settings.socket_directories,
-            settings.may_share_networks,
+            settings.allows_shared_networks,
         )
         if settings
         else None
--- a/honeybarrow/cli/scripts.py
+++ b/honeybarrow/cli/scripts.py
@@ -17,7 +17,7 @@
     """Return the settings of a forwarder. Exits with an error if they are invalid."""
     try:
         return config.find_one(config.read_script(file, SCENARIO_WORDS), schema.ForwarderConfig, file, name)
-    except config.ConfigError as error:
+    except config.ScriptError as error:
         fail(error)
 
 
@@ -26,7 +26,7 @@
     try:
         records = config.read_script(file, SCENARIO_WORDS)
         return config.find_one(records, Scenario, file), config.find_all(records, schema.ForwarderConfig)
-    except config.ConfigError as error:
+    except config.ScriptError as error:
         fail(error)
 
 
--- a/honeybarrow/config/__init__.py
+++ b/honeybarrow/config/__init__.py
@@ -3,7 +3,7 @@
 from honeybarrow.config.schema import ForwarderConfig
 from honeybarrow.config.script import (
     WORDS,
-    ConfigError,
+    ScriptError,
     evaluate_script,
     find_all,
     find_one,
@@ -13,8 +13,8 @@
 
 __all__ = [
     "WORDS",
-    "ConfigError",
     "ForwarderConfig",
+    "ScriptError",
     "evaluate_script",
     "find_all",
     "find_one",
--- a/honeybarrow/config/schema.py
+++ b/honeybarrow/config/schema.py
@@ -276,10 +276,10 @@
     frozen=True,
     rename={
         "saved_verdicts": "saved",
-        "probe_interval_us": "period",
-        "min_recovery_wait_us": "first_trial",
-        "max_recovery_wait_us": "last_trial",
-        "recovery_probe_duration_us": "trial",
+        "protocol_period_us": "period",
+        "initial_probe_delay_us": "first_trial",
+        "max_probe_delay_us": "last_trial",
+        "probe_window_us": "trial",
         "relapse_window_us": "settled",
         "max_ejected_zones": "out_most",
     },
@@ -294,10 +294,10 @@
         zone: the zone of this member, named as in the register's list; by default that of the forwarder.
         address: the host and port that the other members use, if it differs from ``listen``.
         saved_verdicts: the file that keeps the verdicts on zones.
-        probe_interval_us: the protocol period of SWIM.
-        min_recovery_wait_us: the wait before the first probe of an ejected zone; later waits are longer.
-        max_recovery_wait_us: the longest wait between probes of an ejected zone.
-        recovery_probe_duration_us: the duration of a probe of an ejected zone.
+        protocol_period_us: the protocol period of SWIM.
+        initial_probe_delay_us: the wait before the first probe of an ejected zone; later waits are longer.
+        max_probe_delay_us: the longest wait between probes of an ejected zone.
+        probe_window_us: the duration of a probe of an ejected zone.
         relapse_window_us: the time after a recovery in which another outage counts as a relapse.
         max_ejected_zones: the maximum number of zones ejected at once; 0 for half of those listed.
     """
@@ -309,10 +309,10 @@
     zone: ZonePath = ""
     address: str = ""
     saved_verdicts: str = ""
-    probe_interval_us: Positive = 500_000
-    min_recovery_wait_us: Positive = 2_000_000
-    max_recovery_wait_us: Positive = 60_000_000
-    recovery_probe_duration_us: Positive = 2_000_000
+    protocol_period_us: Positive = 500_000
+    initial_probe_delay_us: Positive = 2_000_000
+    max_probe_delay_us: Positive = 60_000_000
+    probe_window_us: Positive = 2_000_000
     relapse_window_us: Positive = 60_000_000
     max_ejected_zones: Annotated[int, Meta(ge=0)] = 0
 
@@ -321,7 +321,7 @@
             raise ValueError(f"listen: {self.listen!r} is no host:port")
         if self.address and parse_host_port(self.address) is None:
             raise ValueError(f"address: {self.address!r} is no host:port")
-        if self.max_recovery_wait_us < self.min_recovery_wait_us:
+        if self.max_probe_delay_us < self.initial_probe_delay_us:
             raise ValueError("last_trial is under first_trial")
         seen: dict[str, None] = {}
         for text in self.peers:
@@ -407,9 +407,9 @@
     rename={
         "listeners": "listen",
         "allowed_networks": "reach",
-        "forbidden_networks": "refused",
+        "denied_networks": "refused",
         "socket_directories": "sockets",
-        "may_share_networks": "share_networks",
+        "allows_shared_networks": "share_networks",
         "allowed_clients": "allow",
         "accounts_file": "accounts",
         "mail_front": "fronts",
@@ -435,10 +435,10 @@
         clients: the client programs that are identified.
         allowed_clients: the networks whose clients may connect.
         allowed_networks: the networks that partners' addresses may lie in.
-        forbidden_networks: the parts of ``allowed_networks`` that partners' addresses may not lie in.
+        denied_networks: the parts of ``allowed_networks`` that partners' addresses may not lie in.
         socket_directories: the directories that partners' Unix sockets may lie in. None of them may be
             writable by everyone.
-        may_share_networks: whether a partner may have addresses in the networks of another partner.
+        allows_shared_networks: whether a partner may have addresses in the networks of another partner.
         zone: the network zone of this forwarder, whose addresses are tried first.
         accounts_file: the file of accounts for AUTH.
         slots: the maximum number of attempts in flight.
@@ -463,9 +463,9 @@
     clients: tuple[ClientProgramConfig, ...] = ()
     allowed_clients: tuple[str, ...] = ("127.0.0.0/8", "::1/128")
     allowed_networks: tuple[str, ...] = ("127.0.0.0/8", "::1/128")
-    forbidden_networks: tuple[str, ...] = ()
+    denied_networks: tuple[str, ...] = ()
     socket_directories: tuple[str, ...] = ("/run", "/var/run")
-    may_share_networks: bool = False
+    allows_shared_networks: bool = False
     zone: str = ""
     tls: TlsConfig | None = None
     accounts_file: str = ""
@@ -499,7 +499,7 @@
         if self.fleet is not None and not any(name != self.name for name in self.fleet.peer_addresses()):
             raise ValueError("fleet: peers name no other forwarder")
         try:
-            EgressPolicy(self.allowed_networks, self.forbidden_networks)
+            EgressPolicy(self.allowed_networks, self.denied_networks)
             ClientIdentifier(self.allowed_clients, [ClientConfig(c.name, c.networks) for c in self.clients])
         except ValueError as error:
             raise ValueError(f"allow, reach, refused, clients: {error}") from None
--- a/honeybarrow/config/script.py
+++ b/honeybarrow/config/script.py
@@ -26,8 +26,8 @@
 MAX_SCRIPT_BYTES = 1 << 20
 
 
-class ConfigError(HoneybarrowError):
-    """A configuration script is invalid; the message names the file and the line."""
+class ScriptError(HoneybarrowError):
+    """A settings or scenario script can't be read or evaluated; the message names the file."""
 
     code = "HB111"
     remedy = "correct the script at the line named, and check it with 'honeybarrow check FILE'"
@@ -63,38 +63,38 @@
     return round(float(match.group(1)) * MICROSECONDS_PER_UNIT[match.group(2)])
 
 
-def read_script(path: Path, words: Mapping[str, type[msgspec.Struct]] = WORDS) -> dict[str, Any]:
+def read_script(path: Path, record_types: Mapping[str, type[msgspec.Struct]] = WORDS) -> dict[str, Any]:
     """Evaluate a script and return the values of its top-level variables by name.
 
-    ``words`` maps the functions of the language to their record types. Raises :class:`ConfigError` with file,
-    line and field.
+    ``record_types`` maps the functions of the language to their record types. Raises :class:`ScriptError`
+    with file, line and field.
     """
     try:
         text = path.read_bytes()[: MAX_SCRIPT_BYTES + 1].decode("utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise ConfigError(f"{path}: {error}") from None
+        raise ScriptError(f"{path}: {error}") from None
     if len(text) > MAX_SCRIPT_BYTES:
-        raise ConfigError(f"{path}: longer than {MAX_SCRIPT_BYTES} bytes")
-    return evaluate_script(str(path), text, words)
+        raise ScriptError(f"{path}: longer than {MAX_SCRIPT_BYTES} bytes")
+    return evaluate_script(str(path), text, record_types)
 
 
 def evaluate_script(
-    name: str, text: str, words: Mapping[str, type[msgspec.Struct]] = WORDS
+    name: str, text: str, record_types: Mapping[str, type[msgspec.Struct]] = WORDS
 ) -> dict[str, Any]:
     """Evaluate a script given as text, like :func:`read_script`. ``name`` is the file name in errors."""
     records: list[msgspec.Struct] = []
     module = starlark.Module()
-    for word, record_type in words.items():
-        module.add_callable(word, _make_record_function(word, record_type, records))
+    for function_name, record_type in record_types.items():
+        module.add_callable(function_name, _make_record_function(function_name, record_type, records))
     try:
         ast = starlark.parse(name, text + "\n")
         variables = sorted(set(re.findall(r"^([A-Za-z_]\w*)\s*=[^=]", text, re.MULTILINE)))
         starlark.eval(module, ast, starlark.Globals.standard())
         found = {variable: _resolve_records(module[variable], records) for variable in variables}
     except starlark.StarlarkError as error:
-        raise ConfigError(_format_error(name, str(error))) from None
+        raise ScriptError(_format_error(name, str(error))) from None
     except (KeyError, TypeError, ValueError) as error:
-        raise ConfigError(f"{name}: {error}") from None
+        raise ScriptError(f"{name}: {error}") from None
     return found
 
 
@@ -114,16 +114,18 @@
 def find_one(records: dict[str, Any], record_type: type[Record], path: Path, name: str = "") -> Record:
     """Return the only record of a type, or the only one with the given name.
 
-    Raises :class:`ConfigError` if there is none or more than one. ``path`` is the file name in errors.
+    Raises :class:`ScriptError` if there is none or more than one. ``path`` is the file name in errors.
     """
     found = find_all(records, record_type)
-    word = record_type.script_word
+    function_name = record_type.script_word
     if name:
         found = [record for record in found if getattr(record, "name", "") == name]
         if not found:
-            raise ConfigError(f"{path}: there is no {word}({name!r})")
+            raise ScriptError(f"{path}: there is no {function_name}({name!r})")
     if len(found) != 1:
-        raise ConfigError(f"{path}: one {word}(...) given to a name is wanted, and there are {len(found)}")
+        raise ScriptError(
+            f"{path}: one {function_name}(...) given to a name is wanted, and there are {len(found)}"
+        )
     return found[0]
 
 
@@ -132,7 +134,7 @@
 
 
 def _make_record_function(
-    word: str, record_type: type[msgspec.Struct], records: list[msgspec.Struct]
+    function_name: str, record_type: type[msgspec.Struct], records: list[msgspec.Struct]
 ) -> Callable[..., Any]:
     """Return the function that scripts call to create a record of this type.
 
@@ -144,24 +146,24 @@
         names = list(fields)
         for i, value in enumerate(args):
             if i >= len(names) or names[i] in arguments:
-                raise ValueError(f"{word}: value {i + 1} has no field, or its field is named too")
+                raise ValueError(f"{function_name}: value {i + 1} has no field, or its field is named too")
             arguments[names[i]] = value
         values = {}
         for name, value in arguments.items():
             if name not in fields:
-                raise ValueError(f"{word}: unknown field {name!r}; it has {', '.join(names)}")
+                raise ValueError(f"{function_name}: unknown field {name!r}; it has {', '.join(names)}")
             try:
                 value = _resolve_records(value, records)
                 if isinstance(value, str) and _is_integer(fields[name]):
                     value = parse_duration_us(value)
             except ValueError as error:
-                raise ValueError(f"{word}: field {name!r}: {error}") from None
+                raise ValueError(f"{function_name}: field {name!r}: {error}") from None
             values[name] = value
         try:
             result = msgspec.convert(values, record_type, strict=True)
         except msgspec.ValidationError as error:
             text = re.sub(r" - at `\$\.?([^`]*)`", r" (field '\1')", str(error))
-            raise ValueError(f"{word}: {text}") from None
+            raise ValueError(f"{function_name}: {text}") from None
         records.append(result)
         return {RECORD_KEY: len(records) - 1}
 
--- a/honeybarrow/delivery/__init__.py
+++ b/honeybarrow/delivery/__init__.py
@@ -3,7 +3,7 @@
 Fronts submit messages with :meth:`Forwarder.submit`.
 """
 
-from honeybarrow.delivery.connection_pool import MailConnectionPool, PoolConfig
+from honeybarrow.delivery.connection_pool import MailConnectionPool, PoolLimits
 from honeybarrow.delivery.connector import Connector
 from honeybarrow.delivery.forwarder import Forwarder, ignore_cancelled
 from honeybarrow.delivery.mail_call import MailPayload
@@ -28,7 +28,7 @@
     "MailConnectionPool",
     "MailPayload",
     "NotRecorded",
-    "PoolConfig",
+    "PoolLimits",
     "Refused",
     "Submission",
     "classify_connection_loss",
--- a/honeybarrow/delivery/connection_pool.py
+++ b/honeybarrow/delivery/connection_pool.py
@@ -6,7 +6,7 @@
 
 A call tries no address twice, even if a reused connection turns out to be closed. Its outcome then states
 that the message was not executed, and the policy decides whether to retry: a retry inside the pool could
-violate a retry wait received in the meantime.
+violate a retry delay received in the meantime.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PoolConfig:
+class PoolLimits:
     """Limits of a connection pool.
 
     ``connect_timeout_s`` covers the connect and the greeting; an unused connection is closed after
@@ -52,12 +52,12 @@
         reactor: Network,
         clock: Clock,
         client_name: str,
-        config: PoolConfig,
+        limits: PoolLimits,
         on_connect_started: Callable[[str], None] = lambda target: None,
         address_health: AddressHealth | None = None,
     ) -> None:
-        self.reactor, self.clock, self.client_name, self.config = reactor, clock, client_name, config
-        self.connect_timeout_s = config.connect_timeout_s
+        self.reactor, self.clock, self.client_name, self.limits = reactor, clock, client_name, limits
+        self.connect_timeout_s = limits.connect_timeout_s
         self.on_connect_started = on_connect_started
         self.address_health = address_health or AddressHealth(random.Random(1))
         self.calls_by_target: dict[str, list[MailCall]] = {}
@@ -136,10 +136,10 @@
         idle = self.idle_by_target.setdefault(connection.target, [])
         idle.append(connection)
         connection.idle_since_us = self.now_us()
-        max_idle_us = int(self.config.idle_timeout_s * 1e6)
+        max_idle_us = int(self.limits.idle_timeout_s * 1e6)
         idle_s = self.address_health.compute_keep_alive_us(connection.address, max_idle_us) / 1e6
         connection.idle_timer = self.clock.callLater(idle_s, self._on_idle_timeout, connection)
-        if len(idle) > self.config.max_idle_per_endpoint:
+        if len(idle) > self.limits.max_idle_per_endpoint:
             now, health = self.now_us(), self.address_health
             in_backoff = [each for each in idle if health.get_backoff_until_us(now, each.address) > now]
             (in_backoff or idle)[0].close()
--- a/honeybarrow/delivery/mail_call.py
+++ b/honeybarrow/delivery/mail_call.py
@@ -150,8 +150,11 @@
         """Handle an established connection, before the server's greeting."""
         self.race.on_connected(connection.number)
 
-    def on_greeting(self, connection: MailConnection, data: bytes) -> bool:
-        """Handle data from a server; return whether this connection carries the call."""
+    def on_data_received(self, connection: MailConnection, data: bytes) -> bool:
+        """Handle received data, the first of which is the greeting.
+
+        Return whether this connection carries the call.
+        """
         if connection.number == self.race.winner:
             return True
         server_name = data[4:].split(b" ")[0].decode("ascii", "replace").strip() if data[:3] == b"220" else ""
@@ -161,7 +164,7 @@
     def on_session_ready(self, connection: MailConnection) -> None:
         """Write the transaction on a session that is ready, if the attempt is still permitted."""
         self.race.on_session_ready(self.pool.now_us(), connection.number)
-        # During the connect the endpoint may have started to drain or advised a retry wait, or the window of
+        # During the connect the endpoint may have started to drain or advised a retry delay, or the window of
         # the idempotency key may have ended.
         self._start_unless_refused(self.permit.record_start(), connection)
 
@@ -197,9 +200,9 @@
             self._set_timer()
 
     def on_session_refused(self, connection: MailConnection, reply: mail.Reply) -> None:
-        """Handle a refused session: end the call if a retry wait was advised, else try another address.
+        """Handle a refused session: end the call if a retry delay was advised, else try another address.
 
-        A retry wait applies to all addresses of the endpoint.
+        A retry delay applies to all addresses of the endpoint.
         """
         self.last_failure = classify_session_refusal(reply)
         if self.last_failure.retry_after_us:
--- a/honeybarrow/delivery/mail_connection.py
+++ b/honeybarrow/delivery/mail_connection.py
@@ -27,8 +27,11 @@
         """Handle an established connection, before the server's greeting."""
         ...
 
-    def on_greeting(self, connection: MailConnection, data: bytes) -> bool:
-        """Handle data from a server; return whether this connection carries the call."""
+    def on_data_received(self, connection: MailConnection, data: bytes) -> bool:
+        """Handle received data, the first of which is the greeting.
+
+        Return whether this connection carries the call.
+        """
         ...
 
     def on_session_ready(self, connection: MailConnection) -> None:
@@ -103,7 +106,7 @@
     def dataReceived(self, data: bytes) -> None:
         """Pass received bytes to the session and its events to the call (Twisted callback)."""
         call, was_committed = self.call, self.session.is_committed
-        if call is not None and not call.on_greeting(self, data):
+        if call is not None and not call.on_data_received(self, data):
             return  # another connection won the race; nothing was written on this one
         for event in self.session.receive(data):
             self._handle_event(event)
--- a/honeybarrow/delivery/outcome.py
+++ b/honeybarrow/delivery/outcome.py
@@ -40,7 +40,7 @@
         return AttemptOutcome(AttemptStatus.OK, load_report=load, reply=reply)
     if is_final and reply.code == 421 and not wait_us:
         # A server that shuts down sends 421 whether or not it has executed the message (RFC 5321 3.8). Only
-        # a 421 with a retry wait is a refusal.
+        # a 421 with a retry delay is a refusal.
         return AttemptOutcome(
             AttemptStatus.RESET, load_report=load, reply=reply, reason="closing after end of data"
         )
@@ -52,7 +52,7 @@
 
 
 def classify_session_refusal(reply: Reply) -> AttemptOutcome:
-    """Return the outcome of a refused session: full if a retry wait was advised, else a failed connect."""
+    """Return the outcome of a refused session: full if a retry delay was advised, else a failed connect."""
     if reply.wait_ms and 400 <= reply.code < 500:
         return AttemptOutcome(AttemptStatus.FULL, True, reply.wait_ms * 1000, reply.load, reply)
     return AttemptOutcome(AttemptStatus.CONNECT_FAILED, True, reply=reply, reason="session refused")
--- a/honeybarrow/fleet/agent.py
+++ b/honeybarrow/fleet/agent.py
@@ -102,7 +102,7 @@
             config.swim_config,
         )
         self.evidence = CallEvidence(evidence_config)
-        self.zones = ZoneCoordinator(
+        self.zone_coordinator = ZoneCoordinator(
             self.membership, self.evidence, rng, config.zone_config, config.uses_weights
         )
         self.endpoint_filter = EndpointFilter()
@@ -124,8 +124,8 @@
             self.membership.set_address("{}:{}".format(*bound_address))
         now_us = self._started_us = self.now_us()
         saved = self._load_saved_verdicts()
-        self._carry_out_membership_actions(self.membership.start(now_us))
-        self._carry_out_zone_actions(self.zones.start(now_us, saved))
+        self._perform_membership_actions(self.membership.start(now_us))
+        self._perform_zone_actions(self.zone_coordinator.start(now_us, saved))
         self.reactor.callLater(JOIN_TIMEOUT_US / SECOND, self._mark_ready)
         self._schedule_wake()
         return bound_address
@@ -134,7 +134,7 @@
         """Announce the departure and close the sockets."""
         if self._is_stopped or self._bound_address is None:
             return
-        self._carry_out_membership_actions(self.membership.leave())
+        self._perform_membership_actions(self.membership.leave())
         self._is_stopped = True
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
@@ -144,9 +144,9 @@
         """Return the register's update with the endpoints of avoided zones marked as draining."""
         filtered = self.endpoint_filter.apply_update(update, self._get_zone_usage)
         if update.kind is not UpdateKind.FAILED:
-            self.zones.update_endpoints(self.endpoint_filter.list_endpoints())
+            self.zone_coordinator.update_endpoints(self.endpoint_filter.list_endpoints())
             zone = self.config.zone
-            if zone and self.endpoint_filter.listed_endpoints and zone not in self.zones.paths:
+            if zone and self.endpoint_filter.listed_endpoints and zone not in self.zone_coordinator.paths:
                 self.log.warning("zone_not_listed", zone=zone)
         return filtered
 
@@ -164,12 +164,12 @@
         self._publish_if_probing()
 
     def _publish_if_probing(self) -> None:
-        if self.zones.is_probing and not self._is_stopped:
+        if self.zone_coordinator.is_probing and not self._is_stopped:
             self._publish_endpoint_changes()
 
     # actions returned by membership and zone coordination
 
-    def _carry_out_membership_actions(self, actions: Sequence[swim.MembershipAction]) -> None:
+    def _perform_membership_actions(self, actions: Sequence[swim.MembershipAction]) -> None:
         for action in actions:
             match action:
                 case swim.SendMessage(to, message):
@@ -192,7 +192,7 @@
             **({"suspected_by": update.suspected_by} if update.suspected_by else {}),
         )
 
-    def _carry_out_zone_actions(self, actions: Sequence[zone_messages.Action]) -> None:
+    def _perform_zone_actions(self, actions: Sequence[zone_messages.Action]) -> None:
         is_usage_changed = False
         for action in actions:
             match action:
@@ -211,12 +211,12 @@
             avoided = sum(endpoint.state is not EndpointState.READY for endpoint in update.endpoints)
             self.log.info("endpoint_list_filtered", avoided=avoided, endpoints=len(update.endpoints))
             self.publish(update)
-        if (digest := self.zones.compute_digest()) != self._saved_digest:
+        if (digest := self.zone_coordinator.compute_digest()) != self._saved_digest:
             self._saved_digest = digest
-            self.save_verdicts(msgspec.json.encode(self.zones.create_sync(self.now_us())))
+            self.save_verdicts(msgspec.json.encode(self.zone_coordinator.create_sync(self.now_us())))
 
     def _get_zone_usage(self, zone: str, destination: int) -> ZoneUsage:
-        return self.zones.get_usage(self.now_us(), zone, destination)
+        return self.zone_coordinator.get_usage(self.now_us(), zone, destination)
 
     def _mark_ready(self) -> None:
         if not self._is_stopped and not self._is_ready:
@@ -248,9 +248,9 @@
         """Dispatch a message to membership or zone coordination."""
         now_us = self.now_us()
         if isinstance(message, swim.Ping | swim.Ack | swim.IndirectPing | swim.Nack):
-            self._carry_out_membership_actions(self.membership.handle_message(now_us, sender, message))
+            self._perform_membership_actions(self.membership.handle_message(now_us, sender, message))
         else:
-            self._carry_out_zone_actions(self.zones.handle_message(now_us, sender, message))
+            self._perform_zone_actions(self.zone_coordinator.handle_message(now_us, sender, message))
         self._schedule_wake()
 
     def handle_push_pull(self, remote: PushPullState) -> PushPullState:
@@ -263,8 +263,10 @@
         """Answer a status query, or set an override for the whole fleet."""
         if isinstance(request, SetOverride):
             try:
-                self._carry_out_zone_actions(
-                    self.zones.set_override(self.now_us(), request.path, request.out, request.duration_us)
+                self._perform_zone_actions(
+                    self.zone_coordinator.set_override(
+                        self.now_us(), request.path, request.eject, request.duration_us
+                    )
                 )
             except InvalidValueError as error:
                 return OperatorReply(error=format_error(error))
@@ -274,12 +276,12 @@
         return OperatorReply(text=msgspec.json.encode(rows).decode())
 
     def _get_push_pull_state(self) -> PushPullState:
-        return PushPullState(self.membership.member_list(), self.zones.create_sync(self.now_us()))
+        return PushPullState(self.membership.member_list(), self.zone_coordinator.create_sync(self.now_us()))
 
     def _merge_push_pull_state(self, remote: PushPullState) -> None:
         now_us = self.now_us()
-        self._carry_out_membership_actions(self.membership.merge_member_list(now_us, remote.updates))
-        self._carry_out_zone_actions(self.zones.merge_sync(now_us, remote.verdicts))
+        self._perform_membership_actions(self.membership.merge_member_list(now_us, remote.updates))
+        self._perform_zone_actions(self.zone_coordinator.merge_sync(now_us, remote.verdicts))
         self._mark_ready()
         self._schedule_wake()
 
@@ -288,15 +290,15 @@
     def _schedule_wake(self) -> None:
         if self._is_stopped:
             return
-        due_us = min(self.membership.due_us, self.zones.due_us)
+        due_us = min(self.membership.due_us, self.zone_coordinator.due_us)
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._timer = self.reactor.callLater(max(0, due_us - self.now_us()) / SECOND, self._wake)
 
     def _wake(self) -> None:
         now_us = self.now_us()
-        self._carry_out_membership_actions(self.membership.wake(now_us))
-        self._carry_out_zone_actions(self.zones.wake(now_us))
+        self._perform_membership_actions(self.membership.wake(now_us))
+        self._perform_zone_actions(self.zone_coordinator.wake(now_us))
         self._schedule_wake()
 
     # status
@@ -307,13 +309,13 @@
 
     def list_zone_status(self) -> list[ZoneStatusRow]:
         """Return the status of all zones known to this member."""
-        return list_zone_status(self.now_us(), self.zones, self.membership)
+        return list_zone_status(self.now_us(), self.zone_coordinator, self.membership)
 
     def collect_metrics(self) -> FleetMetrics:
         """Return the values for a metrics scrape."""
         return FleetMetrics(
             members_by_state=count_members_by_state(self.membership),
-            zone_statuses=count_zone_statuses(self.now_us(), self.zones),
+            zone_statuses=count_zone_statuses(self.now_us(), self.zone_coordinator),
             retained_destinations=len(self.endpoint_filter.retained_destinations),
             datagrams_sent=self.transport.datagrams_sent,
             datagrams_received=self.transport.datagrams_received,
--- a/honeybarrow/fleet/call_evidence.py
+++ b/honeybarrow/fleet/call_evidence.py
@@ -199,7 +199,7 @@
         key = (call.zone, call.destination)
         average_us = self._average_latency_us.get(key)
         if average_us is None:
-            if len(self._average_latency_us) < self.config.max_keys:
+            if len(self._average_latency_us) < self.config.max_zone_destination_pairs:
                 self._average_latency_us[key] = float(latency_us)
             return
         # The cap keeps a short slow period from raising the average much; a lasting one still raises it.
@@ -219,7 +219,7 @@
             position += 1
         tallies = self._buckets[position - 1].tallies
         key = (call.zone, call.destination)
-        if key not in tallies and len(tallies) >= self.config.max_keys:
+        if key not in tallies and len(tallies) >= self.config.max_zone_destination_pairs:
             self.dropped_count += 1
             return None
         return tallies.setdefault(key, CallTally())
--- a/honeybarrow/fleet/member_table.py
+++ b/honeybarrow/fleet/member_table.py
@@ -97,10 +97,10 @@
     state_since_us: int
     suspicion_deadline_us: int = NEVER_US
     suspected_at_us: int = 0
-    suspecters: dict[str, None] = field(default_factory=dict)
+    suspecting_members: dict[str, None] = field(default_factory=dict)
 
 
-def suspicion_timeout_us(
+def compute_suspicion_timeout_us(
     config: SwimConfig, member_count: int, confirmations: int, expected_confirmations: int
 ) -> int:
     """Return the suspicion timeout, which shrinks with each independent confirmation (Lifeguard)."""
@@ -179,7 +179,7 @@
 
     def _replace(self, now_us: int, record: MemberRecord, update: MemberUpdate) -> None:
         previous, record.update, record.state_since_us = record.update, update, now_us
-        record.suspecters.clear()
+        record.suspecting_members.clear()
         self._gossip.enqueue(update.name)
         self._actions.put(MemberChanged(update, previous))
 
@@ -188,15 +188,15 @@
         if record.update.state is not MemberState.SUSPECT:
             suspect = replace(record.update, state=MemberState.SUSPECT, suspected_by=suspected_by)
             self._replace(now_us, record, suspect)
-        if not record.suspecters:
+        if not record.suspecting_members:
             record.suspected_at_us = now_us
         expected = max(1, min(self.config.indirect_ping_count, len(self.records) - 1))
-        if suspected_by not in record.suspecters and len(record.suspecters) <= expected:
-            record.suspecters[suspected_by] = None
-            if len(record.suspecters) > 1:
+        if suspected_by not in record.suspecting_members and len(record.suspecting_members) <= expected:
+            record.suspecting_members[suspected_by] = None
+            if len(record.suspecting_members) > 1:
                 self._gossip.enqueue(record.update.name)  # gossip the confirmation
-        confirmations = len(record.suspecters) - 1  # the first suspicion is not a confirmation
-        timeout_us = suspicion_timeout_us(self.config, len(self.records), confirmations, expected)
+        confirmations = len(record.suspecting_members) - 1  # the first suspicion is not a confirmation
+        timeout_us = compute_suspicion_timeout_us(self.config, len(self.records), confirmations, expected)
         record.suspicion_deadline_us = record.suspected_at_us + timeout_us
 
     def declare_dead(self, now_us: int) -> None:
--- a/honeybarrow/fleet/status.py
+++ b/honeybarrow/fleet/status.py
@@ -87,26 +87,30 @@
     return sorted(rows, key=lambda row: row.name)
 
 
-def list_zone_status(now_us: int, zones: ZoneCoordinator, membership: Membership) -> list[ZoneStatusRow]:
+def list_zone_status(
+    now_us: int, coordinator: ZoneCoordinator, membership: Membership
+) -> list[ZoneStatusRow]:
     """Return one row per zone, and one per network path with a verdict."""
-    return [_zone_row(now_us, zones, membership, *key) for key in _zone_keys(zones)]
+    return [_zone_row(now_us, coordinator, membership, *key) for key in _zone_keys(coordinator)]
 
 
-def _zone_keys(zones: ZoneCoordinator) -> list[tuple[str, str]]:
-    return sorted({**dict.fromkeys((path, "") for path in zones.paths), **dict.fromkeys(zones.recoveries)})
+def _zone_keys(coordinator: ZoneCoordinator) -> list[tuple[str, str]]:
+    return sorted(
+        {**dict.fromkeys((path, "") for path in coordinator.paths), **dict.fromkeys(coordinator.recoveries)}
+    )
 
 
 def _zone_row(
-    now_us: int, zones: ZoneCoordinator, membership: Membership, path: str, source_zone: str
+    now_us: int, coordinator: ZoneCoordinator, membership: Membership, path: str, source_zone: str
 ) -> ZoneStatusRow:
-    recovery = zones.recoveries.get((path, source_zone))
+    recovery = coordinator.recoveries.get((path, source_zone))
     verdict = recovery.verdict if recovery else None
-    override = zones.get_override(now_us, path)
-    remaining_us = zones.get_override_remaining_us(now_us, path) if override else 0
+    override = coordinator.get_override(now_us, path)
+    remaining_us = coordinator.get_override_remaining_us(now_us, path) if override else 0
     return ZoneStatusRow(
         zone=path,
         source_zone=source_zone,
-        status=zones.get_status(now_us, path, source_zone).value,
+        status=coordinator.get_status(now_us, path, source_zone).value,
         override="" if override is None else "out" if override.eject else "in",
         override_by=override.set_by if override else "",
         override_remaining_s=round(remaining_us / SECOND),
@@ -115,7 +119,7 @@
         successes=verdict.successes if verdict else 0,
         failures=verdict.failures if verdict else 0,
         votes=verdict.votes if verdict else 0,
-        known_members=verdict.known_members if verdict else len(membership.known_members()),
+        known_members=verdict.voter_count if verdict else len(membership.known_members()),
         relapses=verdict.relapses if verdict else 0,
         partial_ejections=len(verdict.partial_ejections) if verdict else 0,
     )
@@ -129,9 +133,9 @@
     return counts
 
 
-def count_zone_statuses(now_us: int, zones: ZoneCoordinator) -> tuple[ZoneStatusCount, ...]:
+def count_zone_statuses(now_us: int, coordinator: ZoneCoordinator) -> tuple[ZoneStatusCount, ...]:
     """Return the status of each zone, as metric labels."""
     return tuple(
-        ZoneStatusCount(path, source_zone, zones.get_status(now_us, path, source_zone).value)
-        for path, source_zone in _zone_keys(zones)
+        ZoneStatusCount(path, source_zone, coordinator.get_status(now_us, path, source_zone).value)
+        for path, source_zone in _zone_keys(coordinator)
     )
--- a/honeybarrow/fleet/wire.py
+++ b/honeybarrow/fleet/wire.py
@@ -63,10 +63,10 @@
 
 
 class SetOverride(msgspec.Struct, frozen=True, array_like=True, tag=23):
-    """Operator request to override a zone; ``out`` is ``None`` to withdraw an override."""
+    """Operator request to override a zone; ``eject`` is ``None`` to withdraw an override."""
 
     path: ZonePath
-    out: bool | None
+    eject: bool | None
     duration_us: WireInteger
 
 
--- a/honeybarrow/fleet/zone_config.py
+++ b/honeybarrow/fleet/zone_config.py
@@ -44,7 +44,7 @@
     late_factor: float = 8.0
     latency_smoothing: float = 0.1  # weight of the newest sample, which is capped at twice the average
     max_cells: int = 64  # in one report
-    max_keys: int = 4096  # pairs of zone and destination in one bucket
+    max_zone_destination_pairs: int = 4096  # pairs of zone and destination in one bucket
     max_pending_calls: int = 10_000
 
     def __post_init__(self) -> None:
--- a/honeybarrow/fleet/zone_coordinator.py
+++ b/honeybarrow/fleet/zone_coordinator.py
@@ -288,7 +288,7 @@
             successes=verdict.successes,
             failures=verdict.failures,
             votes=verdict.votes,
-            known_members=verdict.known_members,
+            known_members=verdict.voter_count,
             relapses=verdict.relapses,
             partial_ejections=len(verdict.partial_ejections),
         )
--- a/honeybarrow/fleet/zone_messages.py
+++ b/honeybarrow/fleet/zone_messages.py
@@ -76,7 +76,7 @@
     successes: WireInteger = 0
     failures: WireInteger = 0
     votes: WireInteger = 0
-    known_members: WireInteger = 0
+    voter_count: WireInteger = 0
 
     @property
     def is_ejected(self) -> bool:
--- a/honeybarrow/fleet/zone_verdict.py
+++ b/honeybarrow/fleet/zone_verdict.py
@@ -180,7 +180,7 @@
             successes=assessment.successes,
             failures=assessment.failures,
             votes=votes,
-            known_members=len(voters),
+            voter_count=len(voters),
         )
         return verdict if eject else replace(verdict, spared_zones=(), partial_ejections=())
 
--- a/honeybarrow/mail/client.py
+++ b/honeybarrow/mail/client.py
@@ -98,7 +98,7 @@
         self._in = bytearray()
         self._out = bytearray()
         self._reader = ReplyReader()
-        self._used_ehlo = True
+        self._uses_ehlo = True
         self._content = b""
         self._unwritten_commands: list[tuple[Phase, bytes]] = []  # non-empty only without PIPELINING
         self._expected_replies: list[Phase] = []
@@ -224,12 +224,12 @@
 
     def _on_hello_reply(self, reply: Reply) -> list[Event]:
         if not reply.is_positive:
-            if self._used_ehlo and not self.lmtp and reply.code in (500, 502, 504):
-                self._used_ehlo = False
+            if self._uses_ehlo and not self.lmtp and reply.code in (500, 502, 504):
+                self._uses_ehlo = False
                 self._out += f"HELO {self.name}".encode("ascii") + CRLF
                 return []
             return [self._reject_session(reply)]
-        for line in reply.lines if self._used_ehlo else ():
+        for line in reply.lines if self._uses_ehlo else ():
             word, _, rest = line.strip().partition(" ")
             self.extensions[word.upper()] = rest
         self.phase = Phase.IDLE
--- a/honeybarrow/mail/server.py
+++ b/honeybarrow/mail/server.py
@@ -130,7 +130,7 @@
             self.state = State.READY
             return self._on_credentials(line)
         try:
-            return self._check_command(grammar.read_command(line))
+            return self._handle_command(grammar.read_command(line))
         except GrammarError as error:
             return self._reject_input(error.reply)
 
@@ -143,7 +143,7 @@
         self._is_skipping_line = False
         return self._reject_input(grammar.COMMAND_LINE_TOO_LONG)
 
-    def _check_command(self, command: grammar.Command) -> Event | _NoEvent | None:
+    def _handle_command(self, command: grammar.Command) -> Event | _NoEvent | None:
         if command.verb == "BDAT":
             return self._on_bdat(command.rest)
         if command.verb not in COMMAND_VERBS:
--- a/honeybarrow/service_parts.py
+++ b/honeybarrow/service_parts.py
@@ -17,7 +17,7 @@
 from honeybarrow.admission.duplicate_detection import DuplicateDetector
 from honeybarrow.admission.identity import ClientConfig, ClientIdentifier
 from honeybarrow.config.schema import ForwarderConfig
-from honeybarrow.delivery import Forwarder, MailConnectionPool, PoolConfig
+from honeybarrow.delivery import Forwarder, MailConnectionPool, PoolLimits
 from honeybarrow.events import MembershipUpdate
 from honeybarrow.fleet.agent import FleetAgent, FleetConfig
 from honeybarrow.fleet.swim_config import SwimConfig
@@ -63,9 +63,9 @@
     """Return the policy on partners' addresses. Raises ``ValueError`` for an invalid network."""
     return EgressPolicy(
         settings.allowed_networks,
-        settings.forbidden_networks,
+        settings.denied_networks,
         settings.socket_directories,
-        settings.may_share_networks,
+        settings.allows_shared_networks,
     )
 
 
@@ -85,7 +85,7 @@
 def build_pool(environment: Environment, health: AddressHealth) -> MailConnectionPool:
     """Return the pool of connections to partners."""
     pool = environment.settings.pool
-    limits = PoolConfig(pool.max_idle_per_endpoint, pool.connect_timeout_us / 1e6, pool.idle_timeout_us / 1e6)
+    limits = PoolLimits(pool.max_idle_per_endpoint, pool.connect_timeout_us / 1e6, pool.idle_timeout_us / 1e6)
     return MailConnectionPool(
         environment.reactor, environment.reactor, environment.settings.name, limits, address_health=health
     )
@@ -109,13 +109,13 @@
         fleet.address,
         fleet.peer_addresses(),
         SwimConfig(
-            protocol_period_us=fleet.probe_interval_us,
-            ping_timeout_us=min(MAX_PING_TIMEOUT_US, fleet.probe_interval_us // 3),
+            protocol_period_us=fleet.protocol_period_us,
+            ping_timeout_us=min(MAX_PING_TIMEOUT_US, fleet.protocol_period_us // 3),
         ),
         ZoneConfig(
-            initial_probe_delay_us=fleet.min_recovery_wait_us,
-            max_probe_delay_us=fleet.max_recovery_wait_us,
-            probe_window_us=fleet.recovery_probe_duration_us,
+            initial_probe_delay_us=fleet.initial_probe_delay_us,
+            max_probe_delay_us=fleet.max_probe_delay_us,
+            probe_window_us=fleet.probe_window_us,
             relapse_window_us=fleet.relapse_window_us,
             max_ejected_zones=fleet.max_ejected_zones,
             start_capacity=max(0.01, settings.policy.start_capacity),
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -34,7 +34,7 @@
         settings.classes[1].idempotency is Idempotency.IDEMPOTENT_WITH_KEY
         and settings.classes[1].latency_objective_us == 1_500_000
     )
-    with pytest.raises(config.ConfigError, match="there are 2"):
+    with pytest.raises(config.ScriptError, match="there are 2"):
         config.find_one(records, schema.ForwarderConfig, Path("f.star"))
 
 
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize(("text", "message"), INVALID_SCRIPTS)
 def test_error_names_file_line_and_field(text: str, message: str) -> None:
-    with pytest.raises(config.ConfigError, match=message) as caught:
+    with pytest.raises(config.ScriptError, match=message) as caught:
         config.evaluate_script("f.star", text)
     assert "\n" not in str(caught.value)
 
@@ -72,7 +72,7 @@
         "x = rehearsal('r', length = '1s', partners = [p], register = stand_in_register(port = 0),"
         " troubles = [trouble('shut', at = '0s', who = 'b.example')])\n"
     )
-    with pytest.raises(config.ConfigError, match=r"trouble shut: there is no 'b\.example'"):
+    with pytest.raises(config.ScriptError, match=r"trouble shut: there is no 'b\.example'"):
         config.evaluate_script("f.star", text, SCENARIO_WORDS)
 
 
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -45,7 +45,7 @@
     def close_idle(self, target: str) -> None: ...
 
 
-class ForwarderHarness:
+class ClockedForwarder:
     """A forwarder on a simulated clock; ``time_offset_us`` shifts the time that it reads."""
 
     def __init__(self, **changes: Any) -> None:
@@ -79,121 +79,121 @@
 
 
 def test_backward_clock_step_neither_crashes_the_policy_nor_loses_a_message() -> None:
-    harness = ForwarderHarness()
-    results = harness.submit("m1")
-    harness.run(0.5)
-    harness.time_offset_us = -5_000_000
-    harness.run(0.5)
+    clocked = ClockedForwarder()
+    results = clocked.submit("m1")
+    clocked.run(0.5)
+    clocked.time_offset_us = -5_000_000
+    clocked.run(0.5)
     for _ in range(200):
-        for (_, call), permit in zip(harness.transport.calls, harness.transport.permits, strict=True):
+        for (_, call), permit in zip(clocked.transport.calls, clocked.transport.permits, strict=True):
             if not call.called and permit.record_start() == "":
                 call.callback(AttemptOutcome(AttemptStatus.ERROR))
             elif not call.called:
                 call.callback(AttemptOutcome(AttemptStatus.NOT_SENT, True))
-        harness.run(0.1)
-    assert len(results) == 1 and isinstance(results[0], Refused) and harness.crashes == []
+        clocked.run(0.1)
+    assert len(results) == 1 and isinstance(results[0], Refused) and clocked.crashes == []
 
 
 def test_raising_transport_frees_its_slot_and_counts_as_not_sent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    harness = ForwarderHarness()
+    clocked = ClockedForwarder()
 
     def raise_error(*args: Any) -> Any:
         raise RuntimeError("no transport")
 
-    monkeypatch.setattr(harness.transport, "call", raise_error)
-    results = harness.submit("m1", class_name="pay")
-    harness.run(6.0)
-    assert harness.forwarder.calls_in_flight == 0 and len(results) == 1 and isinstance(results[0], Refused)
+    monkeypatch.setattr(clocked.transport, "call", raise_error)
+    results = clocked.submit("m1", class_name="pay")
+    clocked.run(6.0)
+    assert clocked.forwarder.calls_in_flight == 0 and len(results) == 1 and isinstance(results[0], Refused)
 
 
 def test_delayed_turn_does_not_extend_the_time_of_a_message() -> None:
-    harness = ForwarderHarness()
-    results = harness.submit("m1", 1_000_000)
-    harness.clock.rightNow += 0.9  # a delayed turn leaves 0.1 s
-    harness.clock.advance(0)
-    harness.run(0.11)
-    for _, call in harness.transport.calls:
+    clocked = ClockedForwarder()
+    results = clocked.submit("m1", 1_000_000)
+    clocked.clock.rightNow += 0.9  # a delayed turn leaves 0.1 s
+    clocked.clock.advance(0)
+    clocked.run(0.11)
+    for _, call in clocked.transport.calls:
         if not call.called:
             call.callback(AttemptOutcome(AttemptStatus.TIMEOUT, True))
-    harness.run(0.02)
-    assert len(results) == 1 and harness.forwarder.open_count == 0
+    clocked.run(0.02)
+    assert len(results) == 1 and clocked.forwarder.open_count == 0
 
 
 def test_delayed_turn_does_not_extend_the_retry_window_of_an_ambiguous_message() -> None:
-    harness = ForwarderHarness()
+    clocked = ClockedForwarder()
     resumed = Submission(
         "m1", "post", 1, 9_000_000, PAYLOAD, is_resumed=True, attempts=1, ambiguous_age_us=4_500_000
     )
     results: list[Any] = []
-    harness.forwarder.submit(resumed).addBoth(results.append)
-    harness.clock.rightNow += 0.3  # a delayed turn leaves 0.2 s of the window of the idempotency key
-    harness.clock.advance(0)
-    assert len(harness.transport.calls) == 1
-    assert 180_000 <= harness.transport.permits[0].time_left_us() <= 200_000
+    clocked.forwarder.submit(resumed).addBoth(results.append)
+    clocked.clock.rightNow += 0.3  # a delayed turn leaves 0.2 s of the window of the idempotency key
+    clocked.clock.advance(0)
+    assert len(clocked.transport.calls) == 1
+    assert 180_000 <= clocked.transport.permits[0].time_left_us() <= 200_000
 
 
 def test_events_of_one_turn_are_passed_to_the_policy_together() -> None:
-    harness = ForwarderHarness(slots=8)
+    clocked = ClockedForwarder(slots=8)
     event_counts: list[int] = []
-    handle = harness.forwarder.sender.handle
+    handle = clocked.forwarder.sender.handle
 
     def count_and_handle(now_us: int, events: Sequence[Event]) -> list[Action]:
         event_counts.append(len(events))
         return handle(now_us, events)
 
-    harness.forwarder.sender.handle = count_and_handle  # type: ignore[method-assign]
+    clocked.forwarder.sender.handle = count_and_handle  # type: ignore[method-assign]
     for number in range(5):
-        harness.submit(f"m{number}")
-    harness.clock.advance(0)
-    assert event_counts == [5] and len(harness.transport.calls) > 1
+        clocked.submit(f"m{number}")
+    clocked.clock.advance(0)
+    assert event_counts == [5] and len(clocked.transport.calls) > 1
 
 
 def test_policy_error_fails_all_open_messages() -> None:
-    harness = ForwarderHarness()
-    results = harness.submit("m1")
-    harness.forwarder.sender.handle = lambda now, events: [][0]  # type: ignore[method-assign, assignment]
-    harness.clock.advance(0)
-    assert [type(result) for result in results] == [Failed] and len(harness.crashes) == 1
+    clocked = ClockedForwarder()
+    results = clocked.submit("m1")
+    clocked.forwarder.sender.handle = lambda now, events: [][0]  # type: ignore[method-assign, assignment]
+    clocked.clock.advance(0)
+    assert [type(result) for result in results] == [Failed] and len(clocked.crashes) == 1
 
 
 def test_withdrawn_message_keeps_its_slot_until_its_call_ends() -> None:
-    harness = ForwarderHarness(slots=1)
+    clocked = ClockedForwarder(slots=1)
     events: list[Any] = []
-    harness.forwarder.on_withdrawn = lambda *args: events.append(("withdrawn", *args))
-    harness.forwarder.on_last_attempt_finished = lambda message, outcome, is_ambiguous: events.append(
+    clocked.forwarder.on_withdrawn = lambda *args: events.append(("withdrawn", *args))
+    clocked.forwarder.on_last_attempt_finished = lambda message, outcome, is_ambiguous: events.append(
         ("last attempt finished", message, is_ambiguous)
     )
-    withdrawn = harness.forwarder.submit(Submission("m1", "pay", 1, 4_000_000, PAYLOAD))
+    withdrawn = clocked.forwarder.submit(Submission("m1", "pay", 1, 4_000_000, PAYLOAD))
     errors: list[Any] = []
 
     def record_error(failure: Failure) -> None:
         errors.append(failure.type)
 
     withdrawn.addErrback(record_error)
-    harness.run(0.05)
+    clocked.run(0.05)
     withdrawn.cancel()
-    harness.run(0.05)
-    results = harness.submit("m2")
-    harness.run(0.05)
+    clocked.run(0.05)
+    results = clocked.submit("m2")
+    clocked.run(0.05)
     assert (
-        len(harness.transport.calls) == 1
+        len(clocked.transport.calls) == 1
         and events == [("withdrawn", "m1", 1, False)]
         and errors == [CancelledError]
     )
-    harness.transport.calls[0][1].callback(AttemptOutcome(AttemptStatus.RESET))
-    harness.run(0.5)
-    assert events[1:] == [("last attempt finished", "m1", True)] and len(harness.transport.calls) == 2
-    harness.transport.calls[1][1].callback(AttemptOutcome(AttemptStatus.OK))
-    harness.run(0.05)
-    assert len(results) == 1 and harness.forwarder._messages == {}
+    clocked.transport.calls[0][1].callback(AttemptOutcome(AttemptStatus.RESET))
+    clocked.run(0.5)
+    assert events[1:] == [("last attempt finished", "m1", True)] and len(clocked.transport.calls) == 2
+    clocked.transport.calls[1][1].callback(AttemptOutcome(AttemptStatus.OK))
+    clocked.run(0.05)
+    assert len(results) == 1 and clocked.forwarder._messages == {}
 
 
 def test_duplicate_id_and_unknown_class_are_rejected() -> None:
-    harness = ForwarderHarness()
-    harness.submit("m1")
+    clocked = ClockedForwarder()
+    clocked.submit("m1")
     with pytest.raises(ValueError, match="already in flight"):
-        harness.submit("m1")
+        clocked.submit("m1")
     with pytest.raises(ValueError, match="unknown message class"):
-        harness.submit("m2", class_name="what")
+        clocked.submit("m2", class_name="what")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -278,7 +278,7 @@
     fleet.network.link_conditions.clear()
     fleet.run(60)
     assert all(fleet.live_names(name) == list("abcd") for name in "abcd")
-    assert len({agent.zones.compute_digest() for agent in fleet.agents.values()}) == 1
+    assert len({agent.zone_coordinator.compute_digest() for agent in fleet.agents.values()}) == 1
 
 
 # --- settings
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -76,7 +76,7 @@
 
 def error_text(script: str) -> str:
     """Return the error of a script that is evaluated for forwarder 'x'."""
-    with pytest.raises(config.ConfigError) as caught:
+    with pytest.raises(config.ScriptError) as caught:
         records = config.evaluate_script("f.star", script, SCENARIO_WORDS)
         config.find_one(records, schema.ForwarderConfig, Path("f.star"), "x")
     return str(caught.value)
@@ -88,7 +88,7 @@
     for record in (schema.ForwarderConfig, Scenario):  # the records that commands look up
         for found, name in (({}, ""), (records, ""), (records, "missing")):
             if len(config.find_all(found, record)) != 1 or name:
-                with pytest.raises(config.ConfigError) as caught:
+                with pytest.raises(config.ScriptError) as caught:
                     config.find_one(found, record, Path("f.star"), name)
                 errors[f"{SCENARIO_WORDS_OF[record]} {name or len(found)}"] = str(caught.value)
     assert errors == json.loads((GOLDEN / "missing-records.json").read_text())
--- a/tests/test_golden_zones.py
+++ b/tests/test_golden_zones.py
@@ -55,7 +55,7 @@
     successes=11,
     failures=97,
     votes=5,
-    known_members=9,
+    voter_count=9,
 )
 RESTORATION = ZoneVerdict(path="a", source_zone="", epoch=8, decided_by="f1", incarnation=3)
 EJECTING_OVERRIDE = OperatorOverride(path="b", eject=True, revision=4, set_by="f2")
--- a/tests/test_mail_calls.py
+++ b/tests/test_mail_calls.py
@@ -10,7 +10,7 @@
 import pytest
 
 from honeybarrow.addressing.address import Address
-from honeybarrow.delivery import AttemptOutcome, MailConnectionPool, MailPayload, PoolConfig
+from honeybarrow.delivery import AttemptOutcome, MailConnectionPool, MailPayload, PoolLimits
 from honeybarrow.events import AttemptStatus
 from honeybarrow.mail import Path
 from tests.helpers import FakePermit
@@ -28,7 +28,7 @@
 
 
 def make_pool() -> MailConnectionPool:
-    return MailConnectionPool(reactor, reactor, "fwd.example", PoolConfig(2, 0.4, 5.0))
+    return MailConnectionPool(reactor, reactor, "fwd.example", PoolLimits(2, 0.4, 5.0))
 
 
 def call(
--- a/tests/test_multiple_addresses.py
+++ b/tests/test_multiple_addresses.py
@@ -13,7 +13,7 @@
 import pytest
 
 from honeybarrow.addressing.address import Address
-from honeybarrow.delivery import AttemptOutcome, MailConnectionPool, MailPayload, PoolConfig
+from honeybarrow.delivery import AttemptOutcome, MailConnectionPool, MailPayload, PoolLimits
 from honeybarrow.events import AttemptStatus
 from honeybarrow.mail import Path
 from honeybarrow.register import EndpointAddress as ListedAddress
@@ -66,7 +66,7 @@
 
 
 def make_pool(connect_timeout_s: float = 2.0) -> MailConnectionPool:
-    return MailConnectionPool(reactor, reactor, "fwd.example", PoolConfig(2, connect_timeout_s, 5.0))
+    return MailConnectionPool(reactor, reactor, "fwd.example", PoolLimits(2, connect_timeout_s, 5.0))
 
 
 def call(pool: MailConnectionPool, *addresses: Address, timeout_us: int = 3_000_000) -> AttemptOutcome:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -747,7 +747,7 @@
 
 
 def test_call_evidence_is_bounded() -> None:
-    evidence = CallEvidence(EvidenceConfig(max_keys=5, max_pending_calls=10, max_cells=3))
+    evidence = CallEvidence(EvidenceConfig(max_zone_destination_pairs=5, max_pending_calls=10, max_cells=3))
     for n in range(20):
         evidence.record_call_started(SECOND_US, ("x", n), "a", n)
     assert evidence.dropped_count == 10
@@ -859,7 +859,7 @@
 def test_verdict_is_logged_with_its_evidence() -> None:
     zones = make_coordinator()
     actions = zones.merge_sync(
-        SECOND_US, make_sync(make_verdict(1, successes=1, failures=9, votes=3, known_members=5))
+        SECOND_US, make_sync(make_verdict(1, successes=1, failures=9, votes=3, voter_count=5))
     )
     (event,) = [action for action in actions if isinstance(action, ZoneLogEvent)]
     fields = dict(event.fields)
