--- a/honeybarrow/admission/fair_share.py
+++ b/honeybarrow/admission/fair_share.py
@@ -66,7 +66,7 @@
         """Take ``amount`` back from ``user``. Raises :class:`InvalidValueError` if it holds less."""
         remaining = self.used_by.get(user, 0) - amount
         if remaining < 0:
-            raise InvalidValueError(f"{user!r} releases more than it has")
+            raise InvalidValueError(f"{user!r} releases {amount}, but holds {self.used_by.get(user, 0)}")
         self.used -= amount
         if remaining:
             self.used_by[user] = remaining
--- a/honeybarrow/admission/identity.py
+++ b/honeybarrow/admission/identity.py
@@ -92,7 +92,9 @@
             continue
         name, _, stored = line.strip().partition(":")
         if not name or not _parse_password_hash(stored):
-            raise InvalidValueError(f"line {number} of the accounts is not name:scrypt$N$r$p$salt$hash")
+            raise InvalidValueError(
+                f"line {number} of the accounts file is not of the form name:scrypt$N$r$p$salt$hash"
+            )
         accounts[name] = stored
     return accounts
 
--- a/honeybarrow/cli/lab.py
+++ b/honeybarrow/cli/lab.py
@@ -68,21 +68,21 @@
 @lab.command()
 @scenario_argument
 @click.option("--days", type=click.IntRange(1, 100_000), default=40, show_default=True)
-@click.option("--first", type=click.IntRange(0), default=1, show_default=True, help="Seed of the first day.")
+@click.option("--first", type=click.IntRange(0), default=1, show_default=True, help="Seed of the first run.")
 @click.option("--jobs", type=click.IntRange(1, 256), default=os.cpu_count() or 1, show_default="all cores")
 @click.option(
     "--keep",
     type=click.Path(path_type=Path),
-    help="Folder for the script of the worst day, reduced to few faults.",
+    help="Folder for the script of the worst run, reduced to few faults.",
 )
 def search(file: Path | None, days: int, first: int, jobs: int, keep: Path | None) -> None:
     """Run a scenario with random faults many times; exit status 1 if a run breaks a rule.
 
-    Each run is called a day. Its faults are drawn from its seed.
+    The faults of a run are drawn from its seed; ``--days`` is the number of runs.
     """
     simulation = read_simulation_config(file, None)
     outcomes = fault_search.search_faults(simulation, range(first, first + days), jobs, print_failed_run)
-    click.echo(f"{days} days of {simulation.scenario.name}; the worst:")
+    click.echo(f"{days} runs of {simulation.scenario.name}; the worst:")
     for outcome in outcomes[:5]:
         faults = ", ".join(f"{fault.kind} {fault.target}".strip() for fault in outcome.faults)
         verdict = outcome.error or (
@@ -121,7 +121,7 @@
     minimized = fault_search.minimize(fault_search.draw_faults(simulation, worst.seed), is_as_bad)
     path = folder / f"{simulation.scenario.name}-{worst.seed}.star"
     path.write_text(fault_search.format_script(minimized), encoding="utf-8")
-    click.echo(f"  reduced to {len(minimized.scenario.faults)} troubles: {path}")
+    click.echo(f"  reduced to {len(minimized.scenario.faults)} faults: {path}")
 
 
 @lab.command()
--- a/honeybarrow/consensus/config.py
+++ b/honeybarrow/consensus/config.py
@@ -44,8 +44,9 @@
         smallest = min(self.election_jitter_us, self.vote_timeout_us, self.max_retained_entries)
         if not 0 <= self.max_clock_drift < 0.5 or smallest < 1:
             raise InvalidValueError(
-                "max_clock_drift must be at least 0 and less than 0.5; election_jitter_us, vote_timeout_us "
-                "and max_retained_entries must be at least 1"
+                f"max_clock_drift ({self.max_clock_drift}) must be at least 0 and less than 0.5; "
+                f"election_jitter_us ({self.election_jitter_us}), vote_timeout_us ({self.vote_timeout_us}) "
+                f"and max_retained_entries ({self.max_retained_entries}) must be at least 1"
             )
 
     @property
--- a/honeybarrow/consensus/leases.py
+++ b/honeybarrow/consensus/leases.py
@@ -97,7 +97,8 @@
             )
         if not 0 <= self.max_clock_drift < 0.5 or self.pause_threshold_us < 1:
             raise InvalidValueError(
-                "max_clock_drift must be at least 0 and less than 0.5; pause_threshold_us must be at least 1"
+                f"max_clock_drift ({self.max_clock_drift}) must be at least 0 and less than 0.5; "
+                f"pause_threshold_us ({self.pause_threshold_us}) must be at least 1"
             )
 
     @property
--- a/honeybarrow/consensus/store.py
+++ b/honeybarrow/consensus/store.py
@@ -212,7 +212,9 @@
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(fd)
-            raise StoreLockedError(str(self.folder)) from None
+            raise StoreLockedError(
+                str(self.folder), "another process holds the lock of this folder"
+            ) from None
         return fd
 
     def _open_files(self) -> None:
--- a/honeybarrow/fleet/membership.py
+++ b/honeybarrow/fleet/membership.py
@@ -57,7 +57,9 @@
         config: SwimConfig | None = None,
     ) -> None:
         if name in peers or len({peer: None for peer in peers}) != len(peers):
-            raise InvalidValueError("peers must list each other member once and must not include this member")
+            raise InvalidValueError(
+                f"peers {list(peers)} must be distinct and must not include this member, {name!r}"
+            )
         self.config = config or SwimConfig()
         self.peers, self.rng = tuple(peers), rng
         self.has_left = False
--- a/honeybarrow/fleet/replication.py
+++ b/honeybarrow/fleet/replication.py
@@ -57,12 +57,21 @@
 
     def __post_init__(self) -> None:
         if len(dict.fromkeys(self.replica_names)) < len(self.replicas) or self.primary in self.replica_names:
-            raise InvalidValueError("replicas must be distinct and must not include the primary")
+            raise InvalidValueError(
+                f"replicas {self.replica_names} must be distinct and must not include the primary "
+                f"{self.primary!r}"
+            )
         if not 0 < self.ack_quorum <= len(self.replicas):
-            raise InvalidValueError("ack_quorum must be between 1 and the number of replicas")
+            raise InvalidValueError(
+                f"ack_quorum is {self.ack_quorum}, but must be between 1 and the number of replicas, "
+                f"{len(self.replicas)}"
+            )
         if 2 * self.ack_quorum <= len(self.replicas):
             # Disjoint quorums could store different records under the same index.
-            raise InvalidValueError("ack_quorum must be more than half of the number of replicas")
+            raise InvalidValueError(
+                f"ack_quorum is {self.ack_quorum}, but must be more than half of the {len(self.replicas)} "
+                "replicas"
+            )
 
     @property
     def replica_names(self) -> tuple[str, ...]:
@@ -399,7 +408,9 @@
 
     def __init__(self, log: LogDescription, term: int) -> None:
         if term < 1:
-            raise InvalidValueError("term must be at least 1, as term 0 belongs to the primary")
+            raise InvalidValueError(
+                f"term is {term}, but must be at least 1, as term 0 belongs to the primary"
+            )
         self.log, self.term = log, term
         self.is_superseded = False  # another successor has a higher term
         self.writer: Primary | None = None
--- a/honeybarrow/fleet/swim_config.py
+++ b/honeybarrow/fleet/swim_config.py
@@ -33,7 +33,8 @@
     def __post_init__(self) -> None:
         if not 0 < self.ping_timeout_us * 2 < self.protocol_period_us:
             raise InvalidValueError(
-                "ping_timeout_us must be less than half of protocol_period_us, for indirect probes"
+                f"ping_timeout_us is {self.ping_timeout_us}, but must be above 0 and less than half of "
+                f"protocol_period_us ({self.protocol_period_us}), for indirect probes"
             )
         for name in (
             "indirect_ping_count",
@@ -44,4 +45,4 @@
             "max_incarnation_bumps",
         ):
             if getattr(self, name) < 1:
-                raise InvalidValueError(f"{name} must be at least 1")
+                raise InvalidValueError(f"{name} is {getattr(self, name)}, but must be at least 1")
--- a/honeybarrow/fleet/wire.py
+++ b/honeybarrow/fleet/wire.py
@@ -46,7 +46,10 @@
     """Data that is not a valid message of this fleet."""
 
     code = "HB401"
-    remedy = "compare the fleet names and versions of both members; otherwise the sender is not a member"
+    remedy = (
+        "compare fleet name and program version on both sides; if they are equal, another program sends to "
+        "this port"
+    )
 
 
 class PushPullState(msgspec.Struct, frozen=True, array_like=True, tag=21):
--- a/honeybarrow/fleet/zone_config.py
+++ b/honeybarrow/fleet/zone_config.py
@@ -12,7 +12,7 @@
 def _require_positive(config: object, *names: str) -> None:
     for name in names:
         if getattr(config, name) < 1:
-            raise InvalidValueError(f"{name} must be at least 1")
+            raise InvalidValueError(f"{name} is {getattr(config, name)}, but must be at least 1")
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,10 @@
 
     def __post_init__(self) -> None:
         if not 0.5 <= self.failure_ratio <= 1.0 or not 0.5 <= self.failing_destination_ratio <= 1.0:
-            raise InvalidValueError("failure_ratio and failing_destination_ratio must be between 0.5 and 1")
+            raise InvalidValueError(
+                f"failure_ratio ({self.failure_ratio}) and failing_destination_ratio "
+                f"({self.failing_destination_ratio}) must be between 0.5 and 1"
+            )
         _require_positive(
             self,
             "bucket_us",
@@ -104,10 +107,14 @@
         ratios = (self.start_capacity, self.recovery_margin, self.max_utilization)
         if not all(0.0 < ratio <= 1.0 for ratio in ratios):
             raise InvalidValueError(
-                "start_capacity, recovery_margin and max_utilization must be above 0 and at most 1"
+                f"start_capacity, recovery_margin and max_utilization are {ratios}, "
+                "but must be above 0 and at most 1"
             )
         if self.probe_backoff_factor < 1.0 or self.initial_probe_delay_us < 1:
-            raise InvalidValueError("probe_backoff_factor and initial_probe_delay_us must be at least 1")
+            raise InvalidValueError(
+                f"probe_backoff_factor ({self.probe_backoff_factor}) and initial_probe_delay_us "
+                f"({self.initial_probe_delay_us}) must be at least 1"
+            )
         _require_positive(
             self,
             "tick_us",
--- a/honeybarrow/fleet/zone_override.py
+++ b/honeybarrow/fleet/zone_override.py
@@ -35,7 +35,8 @@
         """
         if not 0 < duration_us <= self.config.max_override_us:
             raise InvalidValueError(
-                f"override duration must be positive and up to {self.config.max_override_us // SECOND} s"
+                f"override duration is {duration_us / SECOND:g} s, but must be positive and up to "
+                f"{self.config.max_override_us // SECOND} s"
             )
         entry = self.entries.get(path)
         return OperatorOverride(path, eject, entry.override.revision + 1 if entry else 1, set_by)
--- a/honeybarrow/mail/client.py
+++ b/honeybarrow/mail/client.py
@@ -140,7 +140,9 @@
         ``RuntimeError`` unless the session is idle.
         """
         if self.phase is not Phase.IDLE:
-            raise RuntimeError(f"not idle but {self.phase.value}")
+            raise RuntimeError(
+                f"can't start a transaction in phase {self.phase.value!r}; the session must be idle"
+            )
         mail_words = [f"MAIL FROM:<{sender}>"]
         if "SIZE" in self.extensions:
             mail_words.append(f"SIZE={len(content)}")
--- a/honeybarrow/mail/grammar.py
+++ b/honeybarrow/mail/grammar.py
@@ -177,7 +177,10 @@
     """A server's reply violates the grammar, so the result of the command is unknown."""
 
     code = "HB203"
-    remedy = "the attempt is ambiguous; report the protocol violation to the operator of the partner's server"
+    remedy = (
+        "the result of the call is unknown if the end of data was written; report the protocol violation to "
+        "the operator of the partner's server"
+    )
 
 
 SYNTAX_ERROR = Reply(501, "5.5.4", "syntax error in parameters")
@@ -282,7 +285,7 @@
     except GrammarError:
         rest = text
     if rest:
-        raise ValueError(f"{sanitize(text)!r} is no address")
+        raise ValueError(f"{sanitize(text)!r} is not an address of the form local@domain")
     return path
 
 
--- a/tests/test_admission_control.py
+++ b/tests/test_admission_control.py
@@ -45,7 +45,7 @@
         shares.acquire("settle")
         settle_admitted += 1
     assert settle_admitted == 25
-    with pytest.raises(ValueError, match="more than it has"):
+    with pytest.raises(ValueError, match="'nobody' releases 1, but holds 0"):
         shares.release("nobody")
 
 
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -115,7 +115,7 @@
 
 
 def test_invalid_address_raises_value_error() -> None:
-    with pytest.raises(ValueError, match="is no address"):
+    with pytest.raises(ValueError, match="is not an address of the form local@domain"):
         client(1).submit("", "no address\r\nRCPT TO:<x@y>", CONTENT)
 
 
@@ -210,6 +210,6 @@
         done = send("--file", str(path), "note@p.example", "pay@bad.example")
         assert done.returncode == 69 and "pay@bad.example: failed" in done.stdout
         done = send("--file", str(path), "not an address")
-        assert done.returncode == 2 and "is no address" in done.stderr
+        assert done.returncode == 2 and "is not an address of the form local@domain" in done.stderr
         done = send("--port", "1", "--file", str(path), "note@p.example")
         assert done.returncode == 75 and "refused" in done.stdout
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -266,7 +266,7 @@
     searched = runner.invoke(
         main, ["lab", "search", "calm", "--days", "2", "--jobs", "1", "--keep", str(tmp_path)]
     )
-    assert searched.exit_code == 0 and "2 days of" in searched.output
+    assert searched.exit_code == 0 and "2 runs of" in searched.output
     saved_scenario = next(tmp_path.glob("*.star"))
     assert runner.invoke(main, ["lab", "run", str(saved_scenario), "--quiet"]).exit_code == 0
     assert runner.invoke(main, ["lab", "explain", "nothing", "calm"]).exit_code == 2
