--- a/honeybarrow/addressing/address_health.py
+++ b/honeybarrow/addressing/address_health.py
@@ -3,7 +3,7 @@
 Performs no I/O and reads no clock; the caller passes the current time in microseconds.
 
 The policy chooses the endpoint. This module only orders the addresses of that endpoint within one attempt; it
-never delays or overrides a retry wait, a drain or a slow start. The connection race
+never delays or overrides a retry delay, a drain or a slow start. The connection race
 (``honeybarrow/addressing/connection_race.py``) applies the order.
 
 Sources: RFC 6724 sections 5 and 6 (the rules that apply to literal addresses), RFC 8305 sections 4
@@ -25,7 +25,7 @@
 MIN_CONNECT_DELAY_US, MAX_CONNECT_DELAY_US = 100_000, 2 * SECOND  # RFC 8305 section 8
 CONNECT_DELAY_FACTOR = 3.0  # multiple of the average connect time
 LATENCY_WEIGHT = 0.2  # weight of the newest measurement in the moving average
-SIMILAR_LATENCY_FACTOR = 2.0  # ratio of two latency steps; noise within a step does not change the order
+SIMILAR_LATENCY_FACTOR = 2.0  # ratio of adjacent latency steps; addresses in one step rank equal
 MIN_BACKOFF_US, BACKOFF_FACTOR, MAX_BACKOFF_US = 500_000, 2.0, 60 * SECOND
 NO_FINAL_REPLY_BACKOFF_US = 5 * SECOND  # first backoff of an address that accepts messages without a reply
 BACKOFF_JITTER = 0.25
@@ -35,7 +35,7 @@
 REPLY_TIMEOUT_FACTOR = 5.0  # multiple of the average reply time
 MIN_REPLY_TIMEOUT_US, DEFAULT_REPLY_TIMEOUT_US = 300_000, SECOND
 KEEP_ALIVE_FRACTION = 0.8  # fraction of the partner's observed idle timeout
-KEEP_ALIVE_GROWTH = 1.25  # growth of the idle timeout estimate when a connection outlives it
+KEEP_ALIVE_GROWTH = 1.25  # factor on the idle timeout estimate when a connection survives its keep-alive time
 MIN_KEEP_ALIVE_US = 100_000
 MAX_BACKOFF_DOUBLINGS = 20  # bounds the exponent; the backoff reaches its maximum well before
 FAMILIES = ("unix", "ipv6", "ipv4")  # in order of preference (RFC 6724 section 2.1 for IPv6 over IPv4)
@@ -75,7 +75,7 @@
     backoff_until_us: int = 0
     updated_us: int = 0
     machine: str = ""  # machine name taken from a greeting
-    idle_limit_us: int = 0  # estimated idle timeout of the partner; 0 if unknown
+    idle_timeout_us: int = 0  # estimated idle timeout of the partner; 0 if unknown
 
 
 class AddressHealth:
@@ -142,7 +142,8 @@
         """Return whether the endpoint may get a second connect concurrently with the first.
 
         It may not within the cold period after a failed call: extra connects would overload a partner that is
-        warming up or whose connection table is full, and a partner stays cold beyond its first answer.
+        warming up or whose connection table is full. A successful call does not end the period, because the
+        partner is not yet at full capacity.
         """
         return self._last_failed_call_us.get(target, -self.cold_period_us) <= now - self.cold_period_us
 
@@ -167,7 +168,7 @@
         self.on_result(address, "connected", elapsed_us)
 
     def record_greeting(self, now: int, address: Address, target: str, server_name: str) -> None:
-        """Record the server name from a greeting (RFC 5321 section 4.2), which identifies its machine.
+        """Record the server name from a greeting (RFC 5321 section 4.2), the machine name if none is listed.
 
         The name is scoped to the endpoint, since servers of different partners may share a name such as
         localhost.
@@ -222,22 +223,22 @@
     def compute_keep_alive_us(self, address: Address, max_us: int) -> int:
         """Return how long to keep an idle connection: less than its partner's observed idle timeout."""
         record = self._records.get(address.socket_key)
-        if record is None or not record.idle_limit_us:
+        if record is None or not record.idle_timeout_us:
             return max_us
-        return min(max_us, max(MIN_KEEP_ALIVE_US, int(record.idle_limit_us * KEEP_ALIVE_FRACTION)))
+        return min(max_us, max(MIN_KEEP_ALIVE_US, int(record.idle_timeout_us * KEEP_ALIVE_FRACTION)))
 
     def record_idle_close(self, now: int, address: Address, idle_us: int) -> None:
         """Record that the partner closed a connection that had been idle for ``idle_us``."""
         record = self._get_or_create(now, address.socket_key)
-        record.idle_limit_us = min(record.idle_limit_us or idle_us, max(1, idle_us))
+        record.idle_timeout_us = min(record.idle_timeout_us or idle_us, max(1, idle_us))
 
     def record_idle_survival(self, now: int, address: Address, idle_us: int) -> None:
-        """Raise the idle timeout estimate if a connection stayed open for nearly that long."""
+        """Raise the idle timeout estimate if an idle connection stayed open for about its keep-alive time."""
         record = self._records.get(address.socket_key)
-        if record is None or not record.idle_limit_us:
+        if record is None or not record.idle_timeout_us:
             return
-        if idle_us >= record.idle_limit_us * KEEP_ALIVE_FRACTION * 0.99:
-            record.idle_limit_us = int(record.idle_limit_us * KEEP_ALIVE_GROWTH)
+        if idle_us >= record.idle_timeout_us * KEEP_ALIVE_FRACTION * 0.99:
+            record.idle_timeout_us = int(record.idle_timeout_us * KEEP_ALIVE_GROWTH)
 
     # Ranking.
 
--- a/honeybarrow/consensus/leases.py
+++ b/honeybarrow/consensus/leases.py
@@ -45,7 +45,7 @@
 class Operation(enum.Enum):
     """An operation that depends on the lease status."""
 
-    # Messages of classes that the rule set continues to accept under the last known version.
+    # Messages of classes that are accepted without a lease, under the last known settings.
     ACCEPT_MESSAGE = "accept a message"
     # Messages of all other classes, such as non-idempotent ones; they need a lease.
     ACCEPT_STRICT_MESSAGE = "accept a strict message"
@@ -97,7 +97,8 @@
             )
         if not 0 <= self.max_clock_drift < 0.5 or self.pause_threshold_us < 1:
             raise InvalidValueError(
-                "max_clock_drift must be at least 0 and less than 0.5; pause_threshold_us must be at least 1"
+                f"max_clock_drift ({self.max_clock_drift}) must be at least 0 and less than 0.5; "
+                f"pause_threshold_us ({self.pause_threshold_us}) must be at least 1"
             )
 
     @property
--- a/honeybarrow/fleet/wire.py
+++ b/honeybarrow/fleet/wire.py
@@ -46,7 +46,10 @@
     """Data that is not a valid message of this fleet."""
 
     code = "HB401"
-    remedy = "compare the fleet names and versions of both members; otherwise the sender is not a member"
+    remedy = (
+        "compare fleet name and program version on both sides; if they are equal, another program sends to "
+        "this port"
+    )
 
 
 class PushPullState(msgspec.Struct, frozen=True, array_like=True, tag=21):
@@ -63,10 +66,10 @@
 
 
 class SetOverride(msgspec.Struct, frozen=True, array_like=True, tag=23):
-    """Operator request to override a zone; ``out`` is ``None`` to withdraw an override."""
+    """Operator request to override a zone; ``eject`` is ``None`` to withdraw an override."""
 
     path: ZonePath
-    out: bool | None
+    eject: bool | None
     duration_us: WireInteger
 
 
--- a/honeybarrow/fleet/zone_config.py
+++ b/honeybarrow/fleet/zone_config.py
@@ -12,7 +12,7 @@
 def _require_positive(config: object, *names: str) -> None:
     for name in names:
         if getattr(config, name) < 1:
-            raise InvalidValueError(f"{name} must be at least 1")
+            raise InvalidValueError(f"{name} is {getattr(config, name)}, but must be at least 1")
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,9 +27,9 @@
     bucket_count: int = 12  # buckets in the window
     min_failures: int = 4  # total over all members
     min_network_path_failures: int = 8  # total over the members of the zone from which the path fails
-    # Failures of one destination that count towards min_failures, so that a single destination that is down
-    # does not look like a failing zone. If fewer destinations than needed reach this number, one more
-    # destination has to fail.
+    # Maximum number of failures of one destination that count towards min_failures, so that a single
+    # destination that is down does not look like a failing zone. A destination with fewer failures fails less
+    # clearly: if too few reach this number, one more failing destination is required.
     min_destination_failures: int = 2
     # Share of failures among completed and pending calls. A value near 0.5 would eject a zone that lost half
     # of its endpoints, and would often be exceeded by chance when an interval has few calls.
@@ -44,12 +44,15 @@
     late_factor: float = 8.0
     latency_smoothing: float = 0.1  # weight of the newest sample, which is capped at twice the average
     max_cells: int = 64  # in one report
-    max_keys: int = 4096  # pairs of zone and destination in one bucket
+    max_zone_destination_pairs: int = 4096  # pairs of zone and destination in one bucket
     max_pending_calls: int = 10_000
 
     def __post_init__(self) -> None:
         if not 0.5 <= self.failure_ratio <= 1.0 or not 0.5 <= self.failing_destination_ratio <= 1.0:
-            raise InvalidValueError("failure_ratio and failing_destination_ratio must be between 0.5 and 1")
+            raise InvalidValueError(
+                f"failure_ratio ({self.failure_ratio}) and failing_destination_ratio "
+                f"({self.failing_destination_ratio}) must be between 0.5 and 1"
+            )
         _require_positive(
             self,
             "bucket_us",
@@ -74,7 +77,7 @@
     range.
     """
 
-    tick_us: int = 200_000
+    tick_us: int = 200_000  # interval of ZoneCoordinator.wake
     round_timeout_us: int = 1_500_000  # for the answers to a request for evidence
     request_retry_us: int = 300_000  # until a request without an answer is repeated
     round_backoff_us: int = SECOND  # after an undecided round, times the number of such rounds (at most 4)
@@ -104,10 +107,14 @@
         ratios = (self.start_capacity, self.recovery_margin, self.max_utilization)
         if not all(0.0 < ratio <= 1.0 for ratio in ratios):
             raise InvalidValueError(
-                "start_capacity, recovery_margin and max_utilization must be above 0 and at most 1"
+                f"start_capacity, recovery_margin and max_utilization are {ratios}, "
+                "but must be above 0 and at most 1"
             )
         if self.probe_backoff_factor < 1.0 or self.initial_probe_delay_us < 1:
-            raise InvalidValueError("probe_backoff_factor and initial_probe_delay_us must be at least 1")
+            raise InvalidValueError(
+                f"probe_backoff_factor ({self.probe_backoff_factor}) and initial_probe_delay_us "
+                f"({self.initial_probe_delay_us}) must be at least 1"
+            )
         _require_positive(
             self,
             "tick_us",
