--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -50,7 +50,7 @@
     MessageClass("pay", 3 * SECOND, 20 * SECOND, Idempotency.NON_IDEMPOTENT, late_utility=0.5),
 )
 # Traffic over the senders, or a disturbance: restarts of senders, or a limit halved from the outage on.
-SHAPES = ("even", "one with most", "restarts", "limits lowered")
+TRAFFIC_PATTERNS = ("even", "one with most", "restarts", "limits lowered")
 OUTAGES = ("refused", "silent", "shut")
 LATENCY_RANGE_US = (4_000, 15_000)  # of the network, one way
 SERVICE_TIME_US = 110_000  # mean for a warm destination
@@ -59,11 +59,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Return:
+class RecoveryScenario:
     """Scenario of a recovery: number of senders, kinds of traffic and outage, and seed."""
 
     senders: int
-    shape: str
+    traffic_pattern: str
     outage: str
     seed: int
 
@@ -72,11 +72,11 @@
 class WorstWindow:
     """Window after an outage with the greatest excess of calls over the budget.
 
-    ``worst`` is the excess divided by the tolerated one: above 1 the destination is overloaded.
+    ``excess_ratio`` is the excess divided by the tolerated one: above 1 the destination is overloaded.
     ``aware_share`` is the share of the calls from senders that noticed the outage.
     """
 
-    worst: float
+    excess_ratio: float
     aware_share: float
     calls: int
     allowed: float
@@ -85,10 +85,10 @@
 class Simulation:
     """Simulation of one recovery."""
 
-    def __init__(self, scenario: Return) -> None:
+    def __init__(self, scenario: RecoveryScenario) -> None:
         self.scenario = scenario
         self.rng = rng = random.Random(
-            f"{scenario.senders}/{scenario.shape}/{scenario.outage}/{scenario.seed}"
+            f"{scenario.senders}/{scenario.traffic_pattern}/{scenario.outage}/{scenario.seed}"
         )
         full_rate = rng.choice((3.0, 8.0, 25.0)) * rng.uniform(0.8, 1.25)  # calls per second
         self.limit = max(rng.uniform(1.6, 5.0), rng.uniform(1.0, 2.3) * full_rate)
@@ -108,7 +108,7 @@
         listed = self.limit * rng.uniform(0.67, 1.5)
         self.rows = (Endpoint("e", 1, EndpointState.READY, "k", "z", listed),)
         self.traffic_weights = [1.0] * scenario.senders
-        if scenario.shape == "one with most":
+        if scenario.traffic_pattern == "one with most":
             self.traffic_weights[0] = scenario.senders
         self.messages_per_s = load * full_rate
         self.senders = [Sender(self.settings, rng.randrange(1 << 30)) for _ in range(scenario.senders)]
@@ -131,7 +131,7 @@
         for number in range(self.scenario.senders):
             self.handle(number, MembershipUpdate(UpdateKind.FULL, 1, self.rows))
         self.schedule(0, self.create_message)
-        if self.scenario.shape == "restarts":
+        if self.scenario.traffic_pattern == "restarts":
             for number in range(0, self.scenario.senders, 3):
                 at_us = self.recovered_us + self.rng.uniform(-2.0, 3.0) * SECOND
                 self.schedule(at_us, lambda number=number: self.restart(number))  # type: ignore[misc]
@@ -203,7 +203,7 @@
             self.schedule(self.now_us + latency_us, lambda: self.finish(call, status, retry_after_us))
             return
         limit = self.limit * (
-            0.5 if self.scenario.shape == "limits lowered" and self.now_us > self.down_us else 1.0
+            0.5 if self.scenario.traffic_pattern == "limits lowered" and self.now_us > self.down_us else 1.0
         )
         self.recent_calls_us = [at_us for at_us in self.recent_calls_us if at_us > self.now_us - SECOND]
         if len(self.recent_calls_us) >= max(1.0, limit):
@@ -273,13 +273,13 @@
             )
             count = last - first + 1
             excess = (count - budget) / (2 * math.sqrt(budget) + 2)
-            if excess > worst.worst:
+            if excess > worst.excess_ratio:
                 aware_share = sum(is_aware for _, is_aware in calls[first : last + 1]) / count
                 worst = WorstWindow(excess, aware_share, count, budget + 2 * math.sqrt(budget) + 2)
         return worst
 
 
-def play(scenario: Return) -> WorstWindow:
+def simulate_recovery(scenario: RecoveryScenario) -> WorstWindow:
     """Simulate one recovery and return its worst window."""
     return Simulation(scenario).run()
 
@@ -296,18 +296,22 @@
     print("senders  shape            returns  over budget       by aware senders  worst (1: limit)")
     with ProcessPoolExecutor(args.workers) as pool:
         for senders in map(int, args.senders.split(",")):
-            for shape in SHAPES:
+            for traffic_pattern in TRAFFIC_PATTERNS:
                 scenarios = [
-                    Return(senders, shape, OUTAGES[seed % len(OUTAGES)], seed)
-                    for seed in range(args.returns // len(SHAPES))
+                    RecoveryScenario(senders, traffic_pattern, OUTAGES[seed % len(OUTAGES)], seed)
+                    for seed in range(args.returns // len(TRAFFIC_PATTERNS))
                 ]
-                windows = list(pool.map(play, scenarios, chunksize=4))
-                exceeding = [each for each in windows if each.worst > 1.0]
+                windows = list(pool.map(simulate_recovery, scenarios, chunksize=4))
+                exceeding = [each for each in windows if each.excess_ratio > 1.0]
+                outages = Counter(
+                    s.outage for s, w in zip(scenarios, windows, strict=True) if w.excess_ratio > 1.0
+                )
                 aware = sum(each.aware_share > 2 / 3 for each in exceeding)
                 print(
-                    f"{senders:7d}  {shape:15s}  {len(scenarios):7d}  {len(exceeding):11d}  {aware:21d}  "
-                    f"{max(each.worst for each in windows):.2f}  "
-                    f"{Counter(s.outage for s, w in zip(scenarios, windows, strict=True) if w.worst > 1.0)}",
+                    f"{senders:7d}  {traffic_pattern:15s}  {len(scenarios):7d}  {len(exceeding):11d}  "
+                    f"{aware:21d}  "
+                    f"{max(each.excess_ratio for each in windows):.2f}  "
+                    f"{outages}",
                     flush=True,
                 )
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -82,13 +82,13 @@
 
 @dataclass
 class Figures:
-    """Results of a run; ``press`` and ``choose`` are numbers of calls per message."""
+    """Results of a run; ``urgency_calls`` and ``endpoint_choices`` are numbers of calls per message."""
 
     messages: int
     cpu_us: float
     worst_ms: float
-    press: float
-    choose: float
+    urgency_calls: float
+    endpoint_choices: float
     answers: Counter[str]
     waiting: int
 
@@ -287,7 +287,7 @@
         fault = load.fault if load.faulty else "-"
         print(
             f"{load.destinations:12} {load.faulty:6} {fault:8} {load.classes:7} {load.max_open:8}"
-            f" {best.cpu_us:8.0f} {best.worst_ms:8.1f} {best.press:7.1f} {best.choose:7.1f}"
+            f" {best.cpu_us:8.0f} {best.worst_ms:8.1f} {best.urgency_calls:7.1f} {best.endpoint_choices:7.1f}"
             f" {best.waiting:7}",
             flush=True,
         )
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -4,24 +4,28 @@
 
 import pytest
 
-from benchmarks.cold_fleet import OUTAGES, SHAPES, Return, play
+from benchmarks.cold_fleet import OUTAGES, TRAFFIC_PATTERNS, RecoveryScenario, simulate_recovery
 from honeybarrow.policy import endpoint_health
 
 RETURNS = [
-    Return(senders, shape, OUTAGES[number % len(OUTAGES)], number)
+    RecoveryScenario(senders, traffic_pattern, OUTAGES[number % len(OUTAGES)], number)
     for senders, seeds in ((20, (0, 1, 2)), (30, (3, 4, 5)), (200, (6,)))
     for number in seeds
-    for shape in SHAPES
+    for traffic_pattern in TRAFFIC_PATTERNS
 ]
 
 
 @pytest.mark.parametrize(
     "returning",
     RETURNS,
-    ids=lambda returning: f"{returning.senders}-{returning.shape}-{returning.outage}-{returning.seed}",
+    ids=lambda returning: (
+        f"{returning.senders}-{returning.traffic_pattern}-{returning.outage}-{returning.seed}"
+    ),
 )
-def test_all_senders_together_stay_within_the_budget_of_a_returning_destination(returning: Return) -> None:
-    assert play(returning).worst <= 1.0
+def test_all_senders_together_stay_within_the_budget_of_a_returning_destination(
+    returning: RecoveryScenario,
+) -> None:
+    assert simulate_recovery(returning).excess_ratio <= 1.0
 
 
 @pytest.mark.parametrize("outage", OUTAGES)
@@ -35,4 +39,7 @@
         lambda state, scope, silent_us=0: max(state.now, scope.retry_after_until_us),
     )
     monkeypatch.setattr(endpoint_health, "call_interval_us", lambda state, endpoint: 0)
-    assert max(play(Return(200, "even", outage, seed)).worst for seed in range(4)) > 1.0
+    assert (
+        max(simulate_recovery(RecoveryScenario(200, "even", outage, seed)).excess_ratio for seed in range(4))
+        > 1.0
+    )
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -20,17 +20,17 @@
 @pytest.mark.parametrize(("destinations", "silent", "max_visits"), ROWS)
 def test_visits_to_waiting_messages_do_not_grow(destinations: int, silent: int, max_visits: float) -> None:
     figures = run(Load(destinations, silent, seconds=4.0))
-    assert figures.press <= max_visits
-    assert figures.choose <= 2.0
+    assert figures.urgency_calls <= max_visits
+    assert figures.endpoint_choices <= 2.0
     assert figures.answers["delivered"] > 0.1 * figures.messages
 
 
 @pytest.mark.parametrize("fault", ["shut", "failing"])
 def test_visits_do_not_grow_with_closed_or_failing_destinations(fault: str) -> None:
     figures = run(Load(240, 120, fault, seconds=3.0))
-    assert figures.press <= 3.0 and figures.choose <= 3.0
+    assert figures.urgency_calls <= 3.0 and figures.endpoint_choices <= 3.0
 
 
 def test_visits_do_not_grow_with_messages_queued_for_an_order_key() -> None:
     figures = run(Load(240, 24, classes="mixed", seconds=3.0))
-    assert figures.press <= 8.0 and figures.choose <= 2.0
+    assert figures.urgency_calls <= 8.0 and figures.endpoint_choices <= 2.0
