--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -27,7 +27,7 @@
 from honeybarrow.events import AttemptStatus
 from honeybarrow.lab import fault_search
 from honeybarrow.policy import admission, backoff, endpoint_health, lifecycle, membership
-from honeybarrow.rehearsal import SCENARIO_WORDS, Scenario
+from honeybarrow.rehearsal import SCENARIO_RECORD_TYPES, Scenario
 from honeybarrow.sender_state import add_waiting
 from tests import mutants
 from tests.mutants import disable_guard, patch_decision
@@ -39,7 +39,7 @@
     """Return the scenario of ``tests.mutants`` with a second address for most endpoints."""
     text = mutants.SCENARIO_SCRIPT % (2525, 2600, 2600)
     text = text.replace('station(name + "-a", port = 0)', f'station(name + "-a", port = 0, {SPOTS})')
-    records = config.evaluate_script("mutants.star", text, SCENARIO_WORDS)
+    records = config.evaluate_script("mutants.star", text, SCENARIO_RECORD_TYPES)
     return lab.SimulationConfig(
         config.find_one(records, Scenario, Path("mutants.star")), tuple(config.find_all(records, Settings))
     )
--- a/benchmarks/zone_lost.py
+++ b/benchmarks/zone_lost.py
@@ -19,7 +19,7 @@
 from honeybarrow import config, lab
 from honeybarrow.config.schema import ForwarderConfig
 from honeybarrow.fleet import zone_recovery
-from honeybarrow.rehearsal import SCENARIO_WORDS, Scenario
+from honeybarrow.rehearsal import SCENARIO_RECORD_TYPES, Scenario
 
 SECOND = 1_000_000
 OUTAGE_START_S, OUTAGE_S, RUN_S, WARM_UP_S = 10, 12, 45, 6
@@ -117,7 +117,7 @@
         "length": RUN_S,
         "how": job.fault,
     }
-    records = config.evaluate_script("day.star", text, SCENARIO_WORDS)
+    records = config.evaluate_script("day.star", text, SCENARIO_RECORD_TYPES)
     scenario = next(each for each in records.values() if isinstance(each, Scenario))
     forwarders = tuple(config.find_all(records, ForwarderConfig))
     if job.policy == "alone":
--- a/honeybarrow/cli/fleet.py
+++ b/honeybarrow/cli/fleet.py
@@ -28,7 +28,7 @@
     decode,
     encode,
 )
-from honeybarrow.rehearsal.schema import SCENARIO_WORDS
+from honeybarrow.rehearsal.schema import SCENARIO_RECORD_TYPES
 
 REPLY_TIMEOUT_S = 5.0
 
@@ -120,7 +120,7 @@
     """
     try:
         settings = config.find_one(
-            config.read_script(file, SCENARIO_WORDS), schema.ForwarderConfig, file, name
+            config.read_script(file, SCENARIO_RECORD_TYPES), schema.ForwarderConfig, file, name
         )
     except config.ConfigError as error:
         raise click.UsageError(format_error(error)) from None
--- a/honeybarrow/cli/scripts.py
+++ b/honeybarrow/cli/scripts.py
@@ -8,7 +8,7 @@
 from honeybarrow.cli.exits import fail
 from honeybarrow.config import schema
 from honeybarrow.errors import USAGE_EXIT_STATUS
-from honeybarrow.rehearsal.schema import SCENARIO_WORDS, Scenario
+from honeybarrow.rehearsal.schema import SCENARIO_RECORD_TYPES, Scenario
 
 SCENARIOS = Path(__file__).parent.parent / "rehearsal" / "scenarios"
 
@@ -16,7 +16,9 @@
 def read_forwarder(file: Path, name: str) -> schema.ForwarderConfig:
     """Return the settings of a forwarder. Exits with an error if they are invalid."""
     try:
-        return config.find_one(config.read_script(file, SCENARIO_WORDS), schema.ForwarderConfig, file, name)
+        return config.find_one(
+            config.read_script(file, SCENARIO_RECORD_TYPES), schema.ForwarderConfig, file, name
+        )
     except config.ConfigError as error:
         fail(error)
 
@@ -24,7 +26,7 @@
 def read_scenario(file: Path) -> tuple[Scenario, list[schema.ForwarderConfig]]:
     """Return a scenario and its forwarders. Exits with an error if the script is invalid."""
     try:
-        records = config.read_script(file, SCENARIO_WORDS)
+        records = config.read_script(file, SCENARIO_RECORD_TYPES)
         return config.find_one(records, Scenario, file), config.find_all(records, schema.ForwarderConfig)
     except config.ConfigError as error:
         fail(error)
--- a/honeybarrow/config/__init__.py
+++ b/honeybarrow/config/__init__.py
@@ -2,7 +2,7 @@
 
 from honeybarrow.config.schema import ForwarderConfig
 from honeybarrow.config.script import (
-    WORDS,
+    RECORD_TYPES,
     ConfigError,
     evaluate_script,
     find_all,
@@ -12,7 +12,7 @@
 )
 
 __all__ = [
-    "WORDS",
+    "RECORD_TYPES",
     "ConfigError",
     "ForwarderConfig",
     "evaluate_script",
--- a/honeybarrow/config/schema.py
+++ b/honeybarrow/config/schema.py
@@ -22,16 +22,16 @@
 
 Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]*$")]
 Positive = Annotated[int, Meta(ge=1)]
-Micros = Annotated[int, Meta(ge=0)]
+Microseconds = Annotated[int, Meta(ge=0)]
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
 Port = Annotated[int, Meta(ge=0, le=65535)]
 Host = Annotated[str, Meta(min_length=1, max_length=255)]
 
 
 class StrictRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A record that rejects unknown fields. ``script_word`` is the function that creates it in a script."""
+    """A record that rejects unknown fields; scripts create it with the function ``script_function``."""
 
-    script_word: ClassVar[str] = ""
+    script_function: ClassVar[str] = ""
 
 
 class MessageClassConfig(
@@ -62,13 +62,13 @@
         is_ordered: whether messages with the same order key are delivered in order.
     """
 
-    script_word: ClassVar[str] = "message_class"
+    script_function: ClassVar[str] = "message_class"
     name: Name
-    latency_objective_us: Micros
+    latency_objective_us: Microseconds
     deadline_us: Positive
     idempotency: Literal["safe", "keyed", "unsafe"] = "safe"
     key_scope: Literal["all", "zone"] = "all"
-    key_window_us: Micros = 0
+    key_window_us: Microseconds = 0
     priority_weight: Annotated[float, Meta(ge=0.0)] = 1.0
     late_utility: Share = 0.0
     is_ordered: bool = False
@@ -89,7 +89,7 @@
 ):
     """A kind of destination. A mail attempt carries a single message, so there is no batch size."""
 
-    script_word: ClassVar[str] = "kind"
+    script_function: ClassVar[str] = "kind"
     name: Name
     has_separate_routes: bool = False
 
@@ -97,7 +97,7 @@
 class TenantConfig(StrictRecord, frozen=True):
     """A tenant and its quota in messages per second over all forwarders."""
 
-    script_word: ClassVar[str] = "tenant"
+    script_function: ClassVar[str] = "tenant"
     name: Name
     quota: Annotated[float, Meta(gt=0.0)]
 
@@ -123,7 +123,7 @@
     source means that the value is not read.
     """
 
-    script_word: ClassVar[str] = "routing"
+    script_function: ClassVar[str] = "routing"
     message_class: str = "recipient.local"
     destination: str = "recipient.domain"
     tenant: str = ""
@@ -152,7 +152,7 @@
 class ListenerConfig(StrictRecord, frozen=True):
     """A listening address for SMTP or LMTP. ``require`` is what an SMTP client must complete before MAIL."""
 
-    script_word: ClassVar[str] = "listen"
+    script_function: ClassVar[str] = "listen"
     protocol: Literal["smtp", "lmtp"]
     port: Port
     host: Host = "127.0.0.1"
@@ -173,7 +173,7 @@
         weight: its weight in fair sharing when capacity is short.
     """
 
-    script_word: ClassVar[str] = "client_program"
+    script_function: ClassVar[str] = "client_program"
     name: Name
     networks: tuple[str, ...] = ()
     certificate: str = ""
@@ -188,7 +188,7 @@
     the authorities that sign client certificates.
     """
 
-    script_word: ClassVar[str] = "tls"
+    script_function: ClassVar[str] = "tls"
     certificate: Annotated[str, Meta(min_length=1)]
     key: Annotated[str, Meta(min_length=1)]
     client_ca: str = ""
@@ -219,7 +219,7 @@
         max_hops: the number of Received lines above which a message is rejected as a loop.
     """
 
-    script_word: ClassVar[str] = "fronts"
+    script_function: ClassVar[str] = "fronts"
     max_connections: Positive = 500
     max_message_bytes: Positive = 1 << 20
     max_recipients: Positive = 100
@@ -227,7 +227,7 @@
     command_timeout_us: Positive = 300_000_000  # RFC 5321 4.5.3.2.7
     data_timeout_us: Positive = 180_000_000  # RFC 5321 4.5.3.2.5
     max_buffered_bytes: Positive = 64 << 20
-    result_retention_us: Micros = 60_000_000
+    result_retention_us: Microseconds = 60_000_000
     max_retained_results: Positive = 20_000
     max_hops: Positive = 50  # below the 100 that RFC 5321 6.3 recommends; see docs/mail.md
 
@@ -243,7 +243,7 @@
 ):
     """The limits of connections to partners: counts and durations in microseconds."""
 
-    script_word: ClassVar[str] = "pool"
+    script_function: ClassVar[str] = "pool"
     max_idle_per_endpoint: Positive = 8
     connect_timeout_us: Positive = 1_000_000
     idle_timeout_us: Positive = 10_000_000
@@ -258,7 +258,7 @@
 ):
     """The address of the partners' register, and the file that keeps its last list between starts."""
 
-    script_word: ClassVar[str] = "register"
+    script_function: ClassVar[str] = "register"
     port: Port
     host: Host = "127.0.0.1"
     saved_list: str = ""
@@ -302,7 +302,7 @@
         max_ejected_zones: the maximum number of zones ejected at once; 0 for half of those listed.
     """
 
-    script_word: ClassVar[str] = "fleet"
+    script_function: ClassVar[str] = "fleet"
     name: Name
     listen: str
     peers: Annotated[tuple[str, ...], Meta(min_length=1, max_length=1000)]
@@ -357,7 +357,7 @@
         sampled_share: the share of messages that are traced, from 0.0 to 1.0.
     """
 
-    script_word: ClassVar[str] = "observe"
+    script_function: ClassVar[str] = "observe"
     metrics_port: Annotated[int, Meta(ge=0, le=65535)] = 0
     spans_file: str = ""
     sampled_share: Share = 1.0
@@ -390,15 +390,15 @@
             unknown.
     """
 
-    script_word: ClassVar[str] = "rules"
-    drain_grace_us: Micros = 250_000
-    poll_interval_us: Micros = 10_000_000
-    answer_grace_us: Micros = 20_000
+    script_function: ClassVar[str] = "rules"
+    drain_grace_us: Microseconds = 250_000
+    poll_interval_us: Microseconds = 10_000_000
+    answer_grace_us: Microseconds = 20_000
     collapse_multiple: Annotated[float, Meta(gt=0.0)] = 2.0
     collapse_window_us: Positive = 3_000_000
     start_capacity: Share = 0.2
     warm_up_us: Positive = 9_000_000
-    order_key_cooldown_us: Micros = 300_000
+    order_key_cooldown_us: Microseconds = 300_000
 
 
 class ForwarderConfig(
@@ -453,7 +453,7 @@
         seed: the seed of random decisions; 0 for a different one at each start.
     """
 
-    script_word: ClassVar[str] = "forwarder"
+    script_function: ClassVar[str] = "forwarder"
     name: Name
     classes: Annotated[tuple[MessageClassConfig, ...], Meta(min_length=1)]
     register: RegisterConfig
@@ -480,7 +480,7 @@
     utility_decay: Literal["line", "halves"] = "line"
     weight_source: Literal["none", "nominal", "rough"] = "rough"
     over_quota_weight: Share = 0.2
-    max_retry_after_us: Micros = 3_000_000
+    max_retry_after_us: Microseconds = 3_000_000
     observability: ObservabilityConfig = ObservabilityConfig()
     fleet: FleetMembershipConfig | None = None
     drain_timeout_us: Positive = 30_000_000
--- a/honeybarrow/config/script.py
+++ b/honeybarrow/config/script.py
@@ -34,8 +34,8 @@
     status = 2
 
 
-WORDS: dict[str, type[msgspec.Struct]] = {
-    record_type.script_word: record_type
+RECORD_TYPES: dict[str, type[msgspec.Struct]] = {
+    record_type.script_function: record_type
     for record_type in (
         schema.MessageClassConfig,
         schema.DestinationKindConfig,
@@ -63,7 +63,7 @@
     return round(float(match.group(1)) * MICROSECONDS_PER_UNIT[match.group(2)])
 
 
-def read_script(path: Path, words: Mapping[str, type[msgspec.Struct]] = WORDS) -> dict[str, Any]:
+def read_script(path: Path, words: Mapping[str, type[msgspec.Struct]] = RECORD_TYPES) -> dict[str, Any]:
     """Evaluate a script and return the values of its top-level variables by name.
 
     ``words`` maps the functions of the language to their record types. Raises :class:`ConfigError` with file,
@@ -79,7 +79,7 @@
 
 
 def evaluate_script(
-    name: str, text: str, words: Mapping[str, type[msgspec.Struct]] = WORDS
+    name: str, text: str, words: Mapping[str, type[msgspec.Struct]] = RECORD_TYPES
 ) -> dict[str, Any]:
     """Evaluate a script given as text, like :func:`read_script`. ``name`` is the file name in errors."""
     records: list[msgspec.Struct] = []
@@ -117,7 +117,7 @@
     Raises :class:`ConfigError` if there is none or more than one. ``path`` is the file name in errors.
     """
     found = find_all(records, record_type)
-    word = record_type.script_word
+    word = record_type.script_function
     if name:
         found = [record for record in found if getattr(record, "name", "") == name]
         if not found:
--- a/honeybarrow/lab/fault_search.py
+++ b/honeybarrow/lab/fault_search.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from honeybarrow.lab.simulation import SimulationConfig, run_simulation
-from honeybarrow.rehearsal import SCENARIO_WORDS, Fault
+from honeybarrow.rehearsal import SCENARIO_RECORD_TYPES, Fault
 
 SECOND_US = 1_000_000
 
@@ -235,7 +235,7 @@
 def _format_value(value: Any) -> str:
     """Format a value in the settings language; records omit fields that have their default."""
     if isinstance(value, msgspec.Struct):
-        word = next(word for word, record in SCENARIO_WORDS.items() if record is type(value))
+        word = next(word for word, record in SCENARIO_RECORD_TYPES.items() if record is type(value))
         all_fields = msgspec.structs.fields(value)
         changed_fields = [each for each in all_fields if getattr(value, each.name) != each.default]
         parts = [
--- a/honeybarrow/metrics.py
+++ b/honeybarrow/metrics.py
@@ -122,9 +122,9 @@
             child = self._children[key] = metric.labels(*labels)
         return child
 
-    def message_accepted(self, message: str, class_name: str, partner: str, left_us: int) -> None:
+    def message_accepted(self, message: str, class_name: str, partner: str, time_left_us: int) -> None:
         """Count an accepted message and keep its labels until it is completed."""
-        self._open[message] = _OpenMessage(class_name, partner, left_us)
+        self._open[message] = _OpenMessage(class_name, partner, time_left_us)
         self._child(self._accepted_total, class_name).inc()
 
     def connect_finished(self, address: str, outcome: str, duration_us: int) -> None:
@@ -136,27 +136,29 @@
     def attempt_started(self, message: str, number: int, target: str) -> None:
         """Do nothing: attempts are counted when they finish."""
 
-    def attempt_finished(self, message: str, number: int, status: str, took_us: int, why: str) -> None:
+    def attempt_finished(self, message: str, number: int, status: str, duration_us: int, reason: str) -> None:
         """Record the duration of an attempt by its status."""
         if (accepted := self._open.get(message)) is not None:
-            self._child(self._attempt_seconds, accepted.partner, status).observe(took_us / 1e6)
+            self._child(self._attempt_seconds, accepted.partner, status).observe(duration_us / 1e6)
 
     def message_completed(
-        self, message: str, answer: str, took_us: int, called_us: int, left_us: int
+        self, message: str, result: str, duration_us: int, time_in_calls_us: int, time_left_us: int
     ) -> None:
         """Count a final result, and record the total time and the time without a call in flight."""
         accepted = self._open.pop(message, None)
         if accepted is None:
             return
-        self._child(self._results_total, accepted.class_name, answer).inc()
-        self._child(self._result_seconds, accepted.class_name).observe(took_us / 1e6)
-        self._child(self._waiting_seconds, accepted.class_name).observe(max(0, took_us - called_us) / 1e6)
-        if left_us * 100 <= accepted.time_left_us:
+        self._child(self._results_total, accepted.class_name, result).inc()
+        self._child(self._result_seconds, accepted.class_name).observe(duration_us / 1e6)
+        self._child(self._waiting_seconds, accepted.class_name).observe(
+            max(0, duration_us - time_in_calls_us) / 1e6
+        )
+        if time_left_us * 100 <= accepted.time_left_us:
             self._child(self._out_of_time_total, accepted.class_name).inc()
 
-    def message_rejected(self, why: str) -> None:
+    def message_rejected(self, reason: str) -> None:
         """Count a message that was rejected before it was accepted."""
-        self._child(self._rejected_total, why).inc()
+        self._child(self._rejected_total, reason).inc()
 
     def render(self) -> bytes:
         """Return the metrics in the Prometheus text format (version 0.0.4)."""
--- a/honeybarrow/observer_fanout.py
+++ b/honeybarrow/observer_fanout.py
@@ -11,29 +11,29 @@
     def __init__(self, *observers: Observer) -> None:
         self.observers = observers
 
-    def message_accepted(self, message: str, class_name: str, partner: str, left_us: int) -> None:
+    def message_accepted(self, message: str, class_name: str, partner: str, time_left_us: int) -> None:
         """Forward to all observers."""
         for observer in self.observers:
-            observer.message_accepted(message, class_name, partner, left_us)
+            observer.message_accepted(message, class_name, partner, time_left_us)
 
     def attempt_started(self, message: str, number: int, target: str) -> None:
         """Forward to all observers."""
         for observer in self.observers:
             observer.attempt_started(message, number, target)
 
-    def attempt_finished(self, message: str, number: int, status: str, took_us: int, why: str) -> None:
+    def attempt_finished(self, message: str, number: int, status: str, duration_us: int, reason: str) -> None:
         """Forward to all observers."""
         for observer in self.observers:
-            observer.attempt_finished(message, number, status, took_us, why)
+            observer.attempt_finished(message, number, status, duration_us, reason)
 
     def message_completed(
-        self, message: str, answer: str, took_us: int, called_us: int, left_us: int
+        self, message: str, result: str, duration_us: int, time_in_calls_us: int, time_left_us: int
     ) -> None:
         """Forward to all observers."""
         for observer in self.observers:
-            observer.message_completed(message, answer, took_us, called_us, left_us)
+            observer.message_completed(message, result, duration_us, time_in_calls_us, time_left_us)
 
-    def message_rejected(self, why: str) -> None:
+    def message_rejected(self, reason: str) -> None:
         """Forward to all observers."""
         for observer in self.observers:
-            observer.message_rejected(why)
+            observer.message_rejected(reason)
--- a/honeybarrow/ports.py
+++ b/honeybarrow/ports.py
@@ -102,42 +102,42 @@
 class Observer(Protocol):
     """Receives notifications about messages. Durations are in microseconds."""
 
-    def message_accepted(self, message: str, class_name: str, partner: str, left_us: int) -> None:
+    def message_accepted(self, message: str, class_name: str, partner: str, time_left_us: int) -> None:
         """Report that a message was accepted."""
 
     def attempt_started(self, message: str, number: int, target: str) -> None:
         """Report that an attempt is about to be sent."""
 
-    def attempt_finished(self, message: str, number: int, status: str, took_us: int, why: str) -> None:
+    def attempt_finished(self, message: str, number: int, status: str, duration_us: int, reason: str) -> None:
         """Report the outcome of an attempt."""
 
     def message_completed(
-        self, message: str, answer: str, took_us: int, called_us: int, left_us: int
+        self, message: str, result: str, duration_us: int, time_in_calls_us: int, time_left_us: int
     ) -> None:
         """Report the final result of a message."""
 
-    def message_rejected(self, why: str) -> None:
+    def message_rejected(self, reason: str) -> None:
         """Report that a message was rejected instead of accepted."""
 
 
 class NullObserver:
     """An :class:`Observer` that ignores all notifications."""
 
-    def message_accepted(self, message: str, class_name: str, partner: str, left_us: int) -> None:
+    def message_accepted(self, message: str, class_name: str, partner: str, time_left_us: int) -> None:
         """Ignore the notification."""
 
     def attempt_started(self, message: str, number: int, target: str) -> None:
         """Ignore the notification."""
 
-    def attempt_finished(self, message: str, number: int, status: str, took_us: int, why: str) -> None:
+    def attempt_finished(self, message: str, number: int, status: str, duration_us: int, reason: str) -> None:
         """Ignore the notification."""
 
     def message_completed(
-        self, message: str, answer: str, took_us: int, called_us: int, left_us: int
+        self, message: str, result: str, duration_us: int, time_in_calls_us: int, time_left_us: int
     ) -> None:
         """Ignore the notification."""
 
-    def message_rejected(self, why: str) -> None:
+    def message_rejected(self, reason: str) -> None:
         """Ignore the notification."""
 
 
--- a/honeybarrow/rehearsal/__init__.py
+++ b/honeybarrow/rehearsal/__init__.py
@@ -4,14 +4,14 @@
 from honeybarrow.rehearsal.rule_check_result import RULES, Rule, RuleCheckResult, format_report
 from honeybarrow.rehearsal.rule_checker import RuleChecker
 from honeybarrow.rehearsal.scenario_runner import ForwarderLauncher, ScenarioRunner
-from honeybarrow.rehearsal.schema import SCENARIO_WORDS, EndpointConfig, Fault, PartnerConfig, Scenario
+from honeybarrow.rehearsal.schema import SCENARIO_RECORD_TYPES, EndpointConfig, Fault, PartnerConfig, Scenario
 from honeybarrow.rehearsal.stand_in_client import StandInClient
 from honeybarrow.rehearsal.stand_in_environment import StandInEnvironment
 from honeybarrow.rehearsal.stand_in_server import StandInServer
 
 __all__ = [
     "RULES",
-    "SCENARIO_WORDS",
+    "SCENARIO_RECORD_TYPES",
     "EndpointConfig",
     "EventKind",
     "EventLog",
--- a/honeybarrow/rehearsal/schema.py
+++ b/honeybarrow/rehearsal/schema.py
@@ -1,7 +1,7 @@
 """Records of scenario files, in addition to those of the settings, with the bounds of their fields.
 
-``SCENARIO_WORDS`` maps the words of the files to the records. Where the name of a field in the files differs
-from its name here, the record's ``rename`` gives it. Durations are integers in microseconds.
+``SCENARIO_RECORD_TYPES`` maps the words of the files to the records. Where the name of a field in the files
+differs from its name here, the record's ``rename`` gives it. Durations are integers in microseconds.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 import msgspec
 from msgspec import Meta
 
-from honeybarrow.config import WORDS
-from honeybarrow.config.schema import Micros, Name, Port, Positive, Share, StrictRecord
+from honeybarrow.config import RECORD_TYPES
+from honeybarrow.config.schema import Microseconds, Name, Port, Positive, Share, StrictRecord
 from honeybarrow.fleet.zone_paths import expand_path
 
 
@@ -74,9 +74,9 @@
     endpoints: Annotated[tuple[EndpointConfig, ...], Meta(min_length=1)]
     kind: str = ""
     max_calls_per_s: Annotated[float, Meta(ge=0.0)] = 0.0
-    rate_window_us: Micros = 0
+    rate_window_us: Microseconds = 0
     retry_after_share: Share = 1.0
-    min_retry_after_us: Micros = 400_000
+    min_retry_after_us: Microseconds = 400_000
     service_time_us: Positive = 60_000
     workers: Positive = 8
     queue_capacity: Annotated[int, Meta(ge=0)] = 16
@@ -102,7 +102,7 @@
     """Stand-in register: its port, and the delay with which it sends changes."""
 
     port: Port
-    delay_us: Micros = 200_000
+    delay_us: Microseconds = 200_000
 
 
 class TrafficConfig(
@@ -216,8 +216,8 @@
     """
 
     kind: FaultKind
-    start_us: Micros
-    duration_us: Micros = 0
+    start_us: Microseconds
+    duration_us: Microseconds = 0
     target: str = ""
     magnitude: Annotated[float, Meta(ge=0.0)] = 1.0
     message_class: str = ""
@@ -232,14 +232,14 @@
 ):
     """Scenario: messages arrive for ``duration_us``, and have ``completion_grace_us`` more to complete."""
 
-    script_word: ClassVar[str] = "rehearsal"
+    script_function: ClassVar[str] = "rehearsal"
     name: Name
     duration_us: Annotated[int, Meta(ge=100_000, le=600_000_000)]
     partners: Annotated[tuple[PartnerConfig, ...], Meta(min_length=1)]
     register: RegisterConfig
     clients: tuple[ClientConfig, ...] = ()
     faults: tuple[Fault, ...] = ()
-    completion_grace_us: Micros = 30_000_000
+    completion_grace_us: Microseconds = 30_000_000
     seed: Annotated[int, Meta(ge=0)] = 1
 
     def __post_init__(self) -> None:
@@ -270,8 +270,8 @@
         }
 
 
-SCENARIO_WORDS: dict[str, type[msgspec.Struct]] = {
-    **WORDS,
+SCENARIO_RECORD_TYPES: dict[str, type[msgspec.Struct]] = {
+    **RECORD_TYPES,
     "station": EndpointConfig,
     "spot": AddressConfig,
     "partner": PartnerConfig,
--- a/honeybarrow/tracing.py
+++ b/honeybarrow/tracing.py
@@ -41,11 +41,11 @@
         self._tracer = provider.get_tracer("honeybarrow", attributes={"forwarder": name})
         self._open: dict[str, _OpenTrace] = {}
 
-    def message_accepted(self, message: str, class_name: str, partner: str, left_us: int) -> None:
+    def message_accepted(self, message: str, class_name: str, partner: str, time_left_us: int) -> None:
         """Start the trace of a message if it is sampled."""
         now = self._wall_ns()
         attributes: dict[str, Any] = {"message": message, "class": class_name, "partner": partner}
-        attributes["left_ms"] = left_us // 1000
+        attributes["left_ms"] = time_left_us // 1000
         root = self._tracer.start_span("message", attributes=attributes, start_time=now)
         if not root.is_recording():
             return
@@ -66,17 +66,17 @@
         """End the waiting span and start one for the attempt."""
         self._switch_span(message, "attempt", {"attempt": number, "target": target})
 
-    def attempt_finished(self, message: str, number: int, status: str, took_us: int, why: str) -> None:
+    def attempt_finished(self, message: str, number: int, status: str, duration_us: int, reason: str) -> None:
         """End the attempt's span with its status and start a waiting span."""
         spans = self._open.get(message)
         if spans is not None:
             spans.current.set_attribute("status", status)
             if status != "ok":
-                spans.current.set_status(Status(StatusCode.ERROR, why))
+                spans.current.set_status(Status(StatusCode.ERROR, reason))
             self._switch_span(message, "waiting", {})
 
     def message_completed(
-        self, message: str, answer: str, took_us: int, called_us: int, left_us: int
+        self, message: str, result: str, duration_us: int, time_in_calls_us: int, time_left_us: int
     ) -> None:
         """End the trace of a message with its final result."""
         spans = self._open.pop(message, None)
@@ -85,14 +85,14 @@
         root = spans.root
         now = self._wall_ns()
         spans.current.end(now)
-        root.set_attribute("answer", answer)
-        root.set_attribute("waited_ms", max(0, took_us - called_us) // 1000)
-        root.set_attribute("left_ms_at_answer", left_us // 1000)
-        if answer != "delivered":
-            root.set_status(Status(StatusCode.ERROR, answer))
+        root.set_attribute("answer", result)
+        root.set_attribute("waited_ms", max(0, duration_us - time_in_calls_us) // 1000)
+        root.set_attribute("left_ms_at_answer", time_left_us // 1000)
+        if result != "delivered":
+            root.set_status(Status(StatusCode.ERROR, result))
         root.end(now)
 
-    def message_rejected(self, why: str) -> None:
+    def message_rejected(self, reason: str) -> None:
         """Do nothing: a rejected message has no trace."""
 
     def close(self) -> None:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -22,7 +22,7 @@
 from honeybarrow.policy import admission, backoff, endpoint_health, lifecycle, membership, rate_limit
 from honeybarrow.reactor import get_reactor
 from honeybarrow.rehearsal import (
-    SCENARIO_WORDS,
+    SCENARIO_RECORD_TYPES,
     EventLog,
     RuleCheckResult,
     Scenario,
@@ -273,7 +273,7 @@
     # Below the ephemeral port range, and different for each mutant, because mutants run concurrently.
     register_port = 27000 + 2 * list(MUTANTS).index(name)
     records = config.evaluate_script(
-        "day.star", SCENARIO_SCRIPT % (register_port + 1, register_port, register_port), SCENARIO_WORDS
+        "day.star", SCENARIO_SCRIPT % (register_port + 1, register_port, register_port), SCENARIO_RECORD_TYPES
     )
     scenario = next(record for record in records.values() if isinstance(record, Scenario))
     settings = config.find_all(records, Settings)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -10,7 +10,7 @@
 from honeybarrow import config
 from honeybarrow.cli import main
 from honeybarrow.config import schema
-from honeybarrow.rehearsal import SCENARIO_WORDS, Scenario
+from honeybarrow.rehearsal import SCENARIO_RECORD_TYPES, Scenario
 from honeybarrow.settings import Idempotency
 
 ROOT = Path(__file__).parent.parent
@@ -73,19 +73,19 @@
         " troubles = [trouble('shut', at = '0s', who = 'b.example')])\n"
     )
     with pytest.raises(config.ConfigError, match=r"trouble shut: there is no 'b\.example'"):
-        config.evaluate_script("f.star", text, SCENARIO_WORDS)
+        config.evaluate_script("f.star", text, SCENARIO_RECORD_TYPES)
 
 
 def test_bundled_scripts_are_valid() -> None:
     scenarios = sorted((ROOT / "honeybarrow/rehearsal/scenarios").glob("*.star"))
     assert len(scenarios) >= 2
     for path in scenarios:
-        records = config.read_script(path, SCENARIO_WORDS)
+        records = config.read_script(path, SCENARIO_RECORD_TYPES)
         assert config.find_one(records, Scenario, path).clients
         for forwarder in config.find_all(records, schema.ForwarderConfig):
             forwarder.policy_settings()
     for path in sorted((ROOT / "examples").glob("*.star")):
-        config.read_script(path, SCENARIO_WORDS)
+        config.read_script(path, SCENARIO_RECORD_TYPES)
 
 
 def test_check_command_prints_errors_and_exits_with_their_status(tmp_path: Path) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -29,7 +29,7 @@
 from honeybarrow.fleet.zone_config import ZoneConfig
 from honeybarrow.lab.simulated_network import NetworkSimulator, SimulatedHost
 from honeybarrow.metrics import Metrics
-from honeybarrow.rehearsal import SCENARIO_WORDS, Scenario
+from honeybarrow.rehearsal import SCENARIO_RECORD_TYPES, Scenario
 from honeybarrow.rehearsal.event_log import EventKind, EventLogEntry
 from honeybarrow.rehearsal.fault_injection import LinkCondition, make_link_condition
 from honeybarrow.rehearsal.plot import PlotError, plot
@@ -333,7 +333,7 @@
     faults: str, length_s: int = 22, forwarder_count: int = 9, **more: Any
 ) -> tuple[lab.SimulationResult, list[LogLine]]:
     records = config.evaluate_script(
-        "day.star", make_script(20600, faults, length_s, forwarder_count, **more), SCENARIO_WORDS
+        "day.star", make_script(20600, faults, length_s, forwarder_count, **more), SCENARIO_RECORD_TYPES
     )
     scenario = next(each for each in records.values() if isinstance(each, Scenario))
     result = lab.run_simulation(
@@ -429,7 +429,7 @@
 
 
 def test_forwarder_without_fleet_settings_starts_no_agent() -> None:
-    records = config.evaluate_script("day.star", make_script(20900, "", 5), SCENARIO_WORDS)
+    records = config.evaluate_script("day.star", make_script(20900, "", 5), SCENARIO_RECORD_TYPES)
     forwarders = [
         msgspec.structs.replace(each, fleet=None) for each in config.find_all(records, ForwarderConfig)
     ]
@@ -446,7 +446,7 @@
 
 
 def test_zone_outage_report_uses_only_events_of_the_stand_ins(tmp_path: Path) -> None:
-    records = config.evaluate_script("day.star", make_script(20900, "", 30), SCENARIO_WORDS)
+    records = config.evaluate_script("day.star", make_script(20900, "", 30), SCENARIO_RECORD_TYPES)
     scenario = next(each for each in records.values() if isinstance(each, Scenario))
     down = EventLogEntry(10 * SECOND, "b", EventKind.ZONE_FAULT, {"kind": "zone_down", "last": 10 * SECOND})
     entries = [make_entry(n / 10, "call") for n in range(100)]  # ten a second
--- a/tests/test_golden_lab.py
+++ b/tests/test_golden_lab.py
@@ -20,7 +20,7 @@
 from honeybarrow.fleet import replica_placement
 from honeybarrow.fleet.replication import AppendAck, AppendRecords, FenceReply, FenceRequest, RequestRejected
 from honeybarrow.lab import fault_search
-from honeybarrow.rehearsal import SCENARIO_WORDS, Scenario
+from honeybarrow.rehearsal import SCENARIO_RECORD_TYPES, Scenario
 from tests import fleet_scenarios, mutants, test_replication
 
 GOLDEN = Path(__file__).parent / "golden"
@@ -59,7 +59,7 @@
 
 
 def read_config(name: str, text: str) -> lab.SimulationConfig:
-    records = config.evaluate_script(f"{name}.star", text, SCENARIO_WORDS)
+    records = config.evaluate_script(f"{name}.star", text, SCENARIO_RECORD_TYPES)
     return lab.SimulationConfig(
         config.find_one(records, Scenario, Path(name)), tuple(config.find_all(records, ForwarderConfig))
     )
@@ -108,14 +108,14 @@
 
 def read_scenario(name: str) -> Any:
     """Return the records of a scenario file by their names in the script."""
-    return msgspec.to_builtins(config.read_script(SCENARIOS / f"{name}.star", SCENARIO_WORDS))
+    return msgspec.to_builtins(config.read_script(SCENARIOS / f"{name}.star", SCENARIO_RECORD_TYPES))
 
 
 def list_scenario_words() -> Any:
     """Return the words of scenario files, each with its fields in order and their defaults."""
     found: dict[str, list[Any]] = {}
-    for word, record in SCENARIO_WORDS.items():
-        if word in config.WORDS:
+    for word, record in SCENARIO_RECORD_TYPES.items():
+        if word in config.RECORD_TYPES:
             continue
         found[word] = []
         for field in msgspec.structs.fields(record):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -20,7 +20,7 @@
 from honeybarrow.lab import LinkConfig, NetworkSimulator, SimulatedHost, fault_search
 from honeybarrow.lab.message_history import describe_message
 from honeybarrow.message_guard import MessageGuard
-from honeybarrow.rehearsal import SCENARIO_WORDS, Fault, Scenario
+from honeybarrow.rehearsal import SCENARIO_RECORD_TYPES, Fault, Scenario
 from tests import mutants
 from tests.fleet_scenarios import make_script
 
@@ -29,7 +29,7 @@
 
 
 def read_config(text: str) -> lab.SimulationConfig:
-    records = config.evaluate_script("test.star", text, SCENARIO_WORDS)
+    records = config.evaluate_script("test.star", text, SCENARIO_RECORD_TYPES)
     return lab.SimulationConfig(
         config.find_one(records, Scenario, CALM_PATH), tuple(config.find_all(records, ForwarderConfig))
     )
@@ -280,7 +280,7 @@
         forwarder_count=2,
         rate=40.0,
     )
-    records = config.evaluate_script("day.star", text, SCENARIO_WORDS)
+    records = config.evaluate_script("day.star", text, SCENARIO_RECORD_TYPES)
     scenario_config = lab.SimulationConfig(
         config.find_one(records, Scenario, CALM_PATH), tuple(config.find_all(records, ForwarderConfig))
     )
