--- a/honeybarrow/metrics.py
+++ b/honeybarrow/metrics.py
@@ -133,10 +133,12 @@
         if duration_us:
             self._child(self._connect_seconds, address).observe(duration_us / 1e6)
 
-    def attempt_started(self, message: str, number: int, target: str) -> None:
+    def attempt_started(self, message: str, attempt: int, target: str) -> None:
         """Do nothing: attempts are counted when they finish."""
 
-    def attempt_finished(self, message: str, number: int, status: str, duration_us: int, reason: str) -> None:
+    def attempt_finished(
+        self, message: str, attempt: int, status: str, duration_us: int, reason: str
+    ) -> None:
         """Record the duration of an attempt by its status."""
         if (accepted := self._open.get(message)) is not None:
             self._child(self._attempt_seconds, accepted.partner, status).observe(duration_us / 1e6)
--- a/honeybarrow/observer_fanout.py
+++ b/honeybarrow/observer_fanout.py
@@ -16,15 +16,17 @@
         for observer in self.observers:
             observer.message_accepted(message, class_name, partner, time_left_us)
 
-    def attempt_started(self, message: str, number: int, target: str) -> None:
+    def attempt_started(self, message: str, attempt: int, target: str) -> None:
         """Forward to all observers."""
         for observer in self.observers:
-            observer.attempt_started(message, number, target)
+            observer.attempt_started(message, attempt, target)
 
-    def attempt_finished(self, message: str, number: int, status: str, duration_us: int, reason: str) -> None:
+    def attempt_finished(
+        self, message: str, attempt: int, status: str, duration_us: int, reason: str
+    ) -> None:
         """Forward to all observers."""
         for observer in self.observers:
-            observer.attempt_finished(message, number, status, duration_us, reason)
+            observer.attempt_finished(message, attempt, status, duration_us, reason)
 
     def message_completed(
         self, message: str, result: str, duration_us: int, time_in_calls_us: int, time_left_us: int
--- a/honeybarrow/ports.py
+++ b/honeybarrow/ports.py
@@ -105,10 +105,12 @@
     def message_accepted(self, message: str, class_name: str, partner: str, time_left_us: int) -> None:
         """Report that a message was accepted."""
 
-    def attempt_started(self, message: str, number: int, target: str) -> None:
+    def attempt_started(self, message: str, attempt: int, target: str) -> None:
         """Report that an attempt is about to be sent."""
 
-    def attempt_finished(self, message: str, number: int, status: str, duration_us: int, reason: str) -> None:
+    def attempt_finished(
+        self, message: str, attempt: int, status: str, duration_us: int, reason: str
+    ) -> None:
         """Report the outcome of an attempt."""
 
     def message_completed(
@@ -126,10 +128,12 @@
     def message_accepted(self, message: str, class_name: str, partner: str, time_left_us: int) -> None:
         """Ignore the notification."""
 
-    def attempt_started(self, message: str, number: int, target: str) -> None:
+    def attempt_started(self, message: str, attempt: int, target: str) -> None:
         """Ignore the notification."""
 
-    def attempt_finished(self, message: str, number: int, status: str, duration_us: int, reason: str) -> None:
+    def attempt_finished(
+        self, message: str, attempt: int, status: str, duration_us: int, reason: str
+    ) -> None:
         """Ignore the notification."""
 
     def message_completed(
--- a/honeybarrow/tracing.py
+++ b/honeybarrow/tracing.py
@@ -62,11 +62,13 @@
             started = self._tracer.start_span(name, spans.context, attributes=attributes, start_time=now)
             self._open[message] = spans._replace(current=started)
 
-    def attempt_started(self, message: str, number: int, target: str) -> None:
+    def attempt_started(self, message: str, attempt: int, target: str) -> None:
         """End the waiting span and start one for the attempt."""
-        self._switch_span(message, "attempt", {"attempt": number, "target": target})
+        self._switch_span(message, "attempt", {"attempt": attempt, "target": target})
 
-    def attempt_finished(self, message: str, number: int, status: str, duration_us: int, reason: str) -> None:
+    def attempt_finished(
+        self, message: str, attempt: int, status: str, duration_us: int, reason: str
+    ) -> None:
         """End the attempt's span with its status and start a waiting span."""
         spans = self._open.get(message)
         if spans is not None:
